--- a/src/fleet/kept_record.h
+++ b/src/fleet/published_record.h
@@ -15,10 +15,10 @@
 /// leads knows it by this. The leader writes it when it changes, and no more than once a second.
 /// One thread.
 template <typename Content>
-class KeptRecord {
+class PublishedRecord {
  public:
   /// @param not_stored the event of a write that failed.
-  KeptRecord(KeyValueStore& store, EventLog& log, std::string key, LogEvent not_stored)
+  PublishedRecord(KeyValueStore& store, EventLog& log, std::string key, LogEvent not_stored)
       : store_(store), log_(log), key_(std::move(key)), not_stored_(not_stored) {}
 
   /// @return the key in the store.
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -9,9 +9,9 @@
 #include "fleet/demand_channel.h"
 #include "fleet/fleet_controller.h"
 #include "fleet/fleet_members.h"
-#include "fleet/kept_record.h"
 #include "fleet/leader_election.h"
 #include "fleet/peer_list.h"
+#include "fleet/published_record.h"
 #include "gateway/counting_store.h"
 #include "gateway/fleet_view.h"
 #include "gateway/gateway_metrics.h"
@@ -117,7 +117,7 @@
   QuotaService quota_;
   PermitService permits_;
   quota::CreditCensus census_;
-  KeptRecord<CreditSharing> sharing_record_;
+  PublishedRecord<CreditSharing> sharing_record_;
   RelayService relays_;
   RequestPipeline pipeline_;
   std::unique_ptr<HttpServer> front_;
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -8,7 +8,7 @@
 #include "common/boot_clock.h"
 #include "common/event_log.h"
 #include "fleet/fleet_messages.h"
-#include "fleet/kept_record.h"
+#include "fleet/published_record.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/store_view.h"
 #include "relay/relay_plan.h"
@@ -91,7 +91,7 @@
   std::optional<Time> plan_expected_since_;  ///< The fleet is large, as far as told.
   bool expectation_ended_ = false;
   Ports ports_;
-  KeptRecord<RelayPlan> record_;
+  PublishedRecord<RelayPlan> record_;
   RelayPlan plan_;
   RelayPlanner planner_;
   RelaySources sources_;
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "fleet/fleet_messages.h"
-#include "fleet/kept_record.h"
+#include "fleet/published_record.h"
 #include "quarantine/quarantine_record.h"
 #include "view_fixture.h"
 
@@ -137,7 +137,8 @@
   FakeKeyValueStore store(context, table);
   EventLog log(-1, {});
   QuarantineRecord quarantine(store, log, "moorfold/quarantine", [](const QuarantineNotice&) {});
-  KeptRecord<CreditSharing> sharing(store, log, "moorfold/sharing", LogEvent::kSharingNotStored);
+  PublishedRecord<CreditSharing> sharing(store, log, "moorfold/sharing",
+                                         LogEvent::kSharingNotStored);
   quarantine.Seen("", table.revision());
   sharing.Seen(std::nullopt, table.revision());
   const KeyValueTable copy = table;
