--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -129,7 +129,7 @@
   if (term_ == election_.fencing_token()) return;
   term_ = election_.fencing_token();
   managed_.clear();
-  if (election_.knows_loads()) return;
+  if (election_.load_history_known()) return;
   constexpr double kShareAssumedUsed = 0.5;
   const double window_s = std::chrono::duration<double>(settings_.load_window).count();
   for (const ServiceDescription& service : view_.routes->configuration().services)
@@ -215,7 +215,7 @@
   planned.serving = server.Usable(now) && !server.TurnsAway(now) && !server.Suspect(now) &&
                     !demand_.Unreachable(server.record().id, now);
   planned.orderable = planned.serving && !managed->operating && now >= managed->not_before &&
-                      election_.ServerFree(planned.id);
+                      election_.ServerSafeToOrder(planned.id);
   const bool own = managed->known;
   planned.models = own ? managed->models : server.record().models;
   planned.in_memory = own ? managed->in_memory : server.record().in_memory;
@@ -354,7 +354,7 @@
 Awaitable<ServerOrderOutcome> FleetController::SendOrder(const ServerOrder& order,
                                                          const Endpoint& endpoint) {
   HttpSendOptions options;
-  options.deadline = BootClock::now() + LeaderElection::kLongestOrder;
+  options.deadline = BootClock::now() + LeaderElection::kMaxOrderDuration;
   options.fresh_connection = true;
   try {
     HttpRequest request = protocol_.MakeOrder(order);
--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -47,7 +47,8 @@
       settings_(std::move(settings)),
       window_(settings_.time_to_live),
       history_(settings_.name, settings_.orders_apart, settings_.load_window),
-      era_wait_(settings_.time_to_live / 2 + kLongestOrder + settings_.orders_apart + kWaitMargin),
+      era_wait_(settings_.time_to_live / 2 + kMaxOrderDuration + settings_.orders_apart +
+                kWaitMargin),
       timer_(context) {}
 
 void LeaderElection::Start() { Tick(); }
@@ -56,7 +57,7 @@
   return !resigned_ && !unsure_ && !LeaseOutlived() && window_.MayOrder(BootClock::now());
 }
 
-bool LeaderElection::ServerFree(const std::string& server_id) const {
+bool LeaderElection::ServerSafeToOrder(const std::string& server_id) const {
   return BootClock::now() >= history_.FreeAt(server_id);
 }
 
@@ -71,7 +72,7 @@
 /// last renewal, and its key lapses a whole lease after it: what is left to wait from then on.
 milliseconds LeaderElection::WaitAfterOther() const {
   const milliseconds wait =
-      settings_.orders_apart + kLongestOrder + kWaitMargin - settings_.time_to_live / 2;
+      settings_.orders_apart + kMaxOrderDuration + kWaitMargin - settings_.time_to_live / 2;
   return std::max(milliseconds(0), wait);
 }
 
@@ -109,7 +110,7 @@
     campaign_not_before_ = BootClock::now() + kOfferPrecedence + Jitter();
   key_known_ = true;
   const bool another = leader_ && leader_->name != settings_.name;
-  if (another && revision > won_at_) window_.NoteOtherTerm();
+  if (another && revision > won_at_) window_.NoteOtherLeader();
   const bool ours = leader_ && lease_.exists() && leader_lease_ == lease_;
   if (ours && window_.leading()) record_revision_ = std::max(record_revision_, revision);
   if (window_.leading() && !ours) Lose("the leader key is another's or gone");
@@ -226,7 +227,8 @@
 milliseconds LeaderElection::BeginTerm(Time now) {
   knows_loads_ = taken_over_.has_value();
   // What this machine's earlier process ordered is not known: others wait it out.
-  others_from_ = claimed_own_ ? now + settings_.orders_apart + kLongestOrder + kWaitMargin : Time{};
+  others_from_ =
+      claimed_own_ ? now + settings_.orders_apart + kMaxOrderDuration + kWaitMargin : Time{};
   if (taken_over_) {
     history_.TakeOver(*taken_over_, taken_over_seen_);
     const Time quiet_until = taken_over_seen_ + milliseconds(taken_over_->quiet_ms);
@@ -237,7 +239,7 @@
     return kOwnHandoverWait;
   }
   // What was inherited before an outage still holds after it.
-  if (window_.FollowsOwn(now, WaitAfterOther())) return kOwnHandoverWait;
+  if (window_.ContinuesOwnTerm(now, WaitAfterOther())) return kOwnHandoverWait;
   history_.Begin();
   return WaitAfterOther();
 }
@@ -246,7 +248,7 @@
   if (window_.leading() || resigned_) return;
   const auto now = BootClock::now();
   // None but this machine can have ordered since its own term: no other's wait can be over.
-  const bool follows_own = !taken_over_ && window_.FollowsOwn(now, WaitAfterOther());
+  const bool follows_own = !taken_over_ && window_.ContinuesOwnTerm(now, WaitAfterOther());
   const Time order_from = now + BeginTerm(now);
   window_.Win(grant_sent_,
               follows_own ? order_from : std::max(order_from, era_wait_.quiet_until()));
@@ -384,7 +386,7 @@
   return other && leader_heard_ != Time{} && now - leader_heard_ > kLeaderSilence;
 }
 
-void LeaderElection::LookNow(bool first) {
+void LeaderElection::ReadLeaderKeyNow(bool first) {
   offered_ = offered_ || first;
   ReadKey();
 }
--- a/src/fleet/leader_election.h
+++ b/src/fleet/leader_election.h
@@ -31,7 +31,7 @@
     succeeded_by_other_ = false;
   }
   /// Another machine has held the key since this machine's last term.
-  void NoteOtherTerm() { succeeded_by_other_ = !leading_ || succeeded_by_other_; }
+  void NoteOtherLeader() { succeeded_by_other_ = !leading_ || succeeded_by_other_; }
   /// A renewal that was sent at `sent` has been answered.
   void Renew(Time sent) { renewal_sent_ = std::max(renewal_sent_, sent); }
   void Lose() { leading_ = false; }
@@ -45,7 +45,7 @@
   }
   /// Whether leadership that is won anew at `now` follows on this machine's own without a gap: any
   /// other would first have had to win after this lease lapsed, and then to wait `handover`.
-  bool FollowsOwn(Time now, std::chrono::milliseconds handover) const {
+  bool ContinuesOwnTerm(Time now, std::chrono::milliseconds handover) const {
     constexpr std::chrono::milliseconds kMargin{200};
     const bool led = renewal_sent_ != Time{};
     return led && !succeeded_by_other_ && now < renewal_sent_ + time_to_live_ + handover - kMargin;
@@ -64,13 +64,13 @@
 /// A store that comes back from an older copy takes leaders their key at any time, also right after
 /// a renewal. What a leader of the era before may still order is over only some time after the
 /// return; a leader of the new era keeps away that long. Pure.
-class EraWait {
+class StoreRestoreWait {
  public:
   using Time = BootClock::time_point;
 
   /// @param orders_end_after after the return: half of a lease and the longest order, and how far
   /// apart orders of two machines must lie.
-  explicit EraWait(std::chrono::milliseconds orders_end_after)
+  explicit StoreRestoreWait(std::chrono::milliseconds orders_end_after)
       : orders_end_after_(orders_end_after) {}
 
   /// The store is in that era now. The first era that a process sees may just have begun, too,
@@ -95,7 +95,7 @@
 };
 
 /// The leader key as this machine last saw it.
-struct LeaderKeySight {
+struct LeaderKeyState {
   std::optional<LeaderRecord> record;  ///< Nothing: the key does not exist.
   StoreRevision revision;              ///< Of the record; without one, number 0 of that era.
   /// The key holds something that is no record and hangs on no lease: it goes by nobody's end.
@@ -109,7 +109,7 @@
  public:
   /// @return the revision that the key must still have (number 0: no key) for `machine` to claim
   /// it, or nothing when the key is another machine's.
-  static std::optional<StoreRevision> Condition(const LeaderKeySight& key,
+  static std::optional<StoreRevision> Condition(const LeaderKeyState& key,
                                                 const std::string& machine) {
     if (!key.record) return key.abandoned ? key.revision : StoreRevision{key.revision.era, 0};
     const bool claimable = key.record->released || key.record->name == machine;
@@ -120,7 +120,7 @@
 
   StoreRevision condition() const { return condition_; }
   /// @return whether the key, as it is seen now, is still as it was when the claim was decided.
-  bool StillHolds(const LeaderKeySight& key, const std::string& machine) const {
+  bool StillHolds(const LeaderKeyState& key, const std::string& machine) const {
     return Condition(key, machine) == condition_;
   }
 
@@ -144,7 +144,7 @@
 class LeaderElection {
  public:
   /// An order that has no answer by then is given up with its connection.
-  static constexpr std::chrono::milliseconds kLongestOrder{600};
+  static constexpr std::chrono::milliseconds kMaxOrderDuration{600};
 
   LeaderElection(boost::asio::io_context& context, KeyValueStore& store, EventLog& log,
                  ElectionSettings settings);
@@ -156,13 +156,13 @@
   /// The leader has been heard from, by another way than the store.
   /// @param daemons in the fleet, as the leader says: in a large one each looks for the next leader
   /// more seldom.
-  void HeardLeader(std::uint32_t daemons) {
+  void NoteLeaderHeard(std::uint32_t daemons) {
     leader_heard_ = BootClock::now();
     daemons_ = daemons;
   }
   /// Reads the leader key now: another daemon has said that it leads no more.
   /// @param first whether to stand for leader at once.
-  void LookNow(bool first);
+  void ReadLeaderKeyNow(bool first);
   /// Takes part no more; a lead is kept until Resign.
   void StopOrdering() { resigned_ = true; }
   /// Gives leadership up, and leaves to the next leader what was ordered. Orders must have ended.
@@ -173,12 +173,12 @@
   /// @return whether an order may be sent now.
   bool MayOrder() const;
   /// @return whether orders of other leaders to that server lie far enough back.
-  bool ServerFree(const std::string& server_id) const;
+  bool ServerSafeToOrder(const std::string& server_id) const;
   /// An order to the server has been answered or given up.
   void NoteOrder(const std::string& server_id) { history_.NoteOrder(server_id, BootClock::now()); }
   LoadWindow& loads() { return history_.loads(); }
   /// @return whether the loads of the leader before are known and counted.
-  bool knows_loads() const { return knows_loads_; }
+  bool load_history_known() const { return knows_loads_; }
   std::int64_t fencing_token() const { return token_; }
   /// @return the leader's record as far as known.
   const std::optional<LeaderRecord>& leader() const { return leader_; }
@@ -194,7 +194,7 @@
   /// whatever renewals say, and its number another's.
   bool LeaseOutlived() const { return store_.era() > lease_.era; }
   void Claim(const LeadershipClaim& claim, LeaseId lease, Time grant_sent);
-  LeaderKeySight Sight() const {
+  LeaderKeyState Sight() const {
     const bool exists = leader_ || key_abandoned_;
     return {leader_, exists ? leader_revision_ : StoreRevision{seen_revision_.era, 0},
             key_abandoned_};
@@ -226,11 +226,11 @@
   ElectionSettings settings_;
   OrderWindow window_;
   OrderHistory history_;
-  EraWait era_wait_;
+  StoreRestoreWait era_wait_;
   BootTimer timer_;
   std::optional<LeaderRecord> leader_;
   StoreRevision leader_revision_;
-  bool key_abandoned_ = false;   ///< As LeaderKeySight has it.
+  bool key_abandoned_ = false;   ///< As LeaderKeyState has it.
   StoreRevision seen_revision_;  ///< Of the key's newest state, also of its absence.
   Time leader_seen_{};           ///< When that state was first seen.
   Time key_confirmed_{};         ///< When it was last seen.
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -113,7 +113,7 @@
                 [this](const ChangeAnswer& answer, const std::string& from) {
                   TakeAnswer(answer, from);
                 },
-                [this](const LeadershipOffer&) { election_.LookNow(true); },
+                [this](const LeadershipOffer&) { election_.ReadLeaderKeyNow(true); },
                 [this](const QuarantineNotice& notice, const std::string& from) {
                   peers_.Note(from, BootClock::now());
                   quarantine_.Hear(notice);
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -200,7 +200,7 @@
     return;
   }
   if (answer.leads) {
-    if (from_leader) election_.HeardLeader(answer.daemons);
+    if (from_leader) election_.NoteLeaderHeard(answer.daemons);
     TakeSize(answer.daemons);
     relays_.NoteFleetSize(answer.daemons);
   }
--- a/test/fleet/leader_election_test.cc
+++ b/test/fleet/leader_election_test.cc
@@ -47,9 +47,9 @@
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.MayOrder(); }));
   CHECK(resigned);
-  CHECK_FALSE(two.election.ServerFree("i-1"));
-  CHECK(two.election.ServerFree("i-2"));
-  CHECK(two.election.knows_loads());
+  CHECK_FALSE(two.election.ServerSafeToOrder("i-1"));
+  CHECK(two.election.ServerSafeToOrder("i-2"));
+  CHECK(two.election.load_history_known());
   CHECK(two.election.loads().Free(1, BootClock::now()) == 1);
 }
 
@@ -80,7 +80,7 @@
   bool resigned = false;
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one}, [&] { return resigned; }));
-  two.election.LookNow(true);  // Its watch has said nothing.
+  two.election.ReadLeaderKeyNow(true);  // Its watch has said nothing.
   CHECK(RunUntil(context, {}, [&] { return two.election.MayOrder(); }));
 }
 
@@ -91,7 +91,7 @@
   REQUIRE(RunUntil(context, {one.get()}, [&] { return one->election.MayOrder(); }));
   Candidate two(context, table, "two");
   REQUIRE(RunUntil(context, {one.get(), &two}, [&] { return two.election.leader().has_value(); }));
-  two.election.HeardLeader(2);
+  two.election.NoteLeaderHeard(2);
   one->store.unreachable = true;  // As if it were killed.
   // Without a watch: only reading shows that the key has gone.
   CHECK(RunUntil(context, {}, [&] { return two.election.leading(); }));
@@ -217,16 +217,16 @@
     "ordered") {
   const OrderWindow::Time start{std::chrono::seconds(1000)};
   OrderWindow window(milliseconds(2'000));
-  CHECK_FALSE(window.FollowsOwn(start, milliseconds(3'000)));  // It never led.
+  CHECK_FALSE(window.ContinuesOwnTerm(start, milliseconds(3'000)));  // It never led.
   window.Win(start, start);
   window.Renew(start + milliseconds(500));
   window.Lose();
   // Another could win 2 s after the last renewal was sent, and order 3 s later.
-  CHECK(window.FollowsOwn(start + milliseconds(5'200), milliseconds(3'000)));
-  CHECK_FALSE(window.FollowsOwn(start + milliseconds(5'400), milliseconds(3'000)));
-  CHECK_FALSE(window.FollowsOwn(start + milliseconds(60'000), milliseconds(3'000)));
-  window.NoteOtherTerm();  // Another has held the key between.
-  CHECK_FALSE(window.FollowsOwn(start + milliseconds(1'000), milliseconds(3'000)));
+  CHECK(window.ContinuesOwnTerm(start + milliseconds(5'200), milliseconds(3'000)));
+  CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(5'400), milliseconds(3'000)));
+  CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(60'000), milliseconds(3'000)));
+  window.NoteOtherLeader();  // Another has held the key between.
+  CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(1'000), milliseconds(3'000)));
 }
 
 TEST_CASE("A leader record that cannot be read is skipped") {
--- a/test/fleet/leadership_over_eras_test.cc
+++ b/test/fleet/leadership_over_eras_test.cc
@@ -119,7 +119,7 @@
   Show(again, table);
   REQUIRE(RunUntil(context, {}, [&] { return again.election.MayOrder(); }));
   CHECK(BootClock::now() - back >= kOrdersEndAfter);
-  CHECK_FALSE(again.election.knows_loads());
+  CHECK_FALSE(again.election.load_history_known());
 }
 
 TEST_CASE("What a leader of the same era hands on is taken over without that wait") {
@@ -135,10 +135,10 @@
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one}, [&] { return resigned; }));
   Show(two, table);
-  two.election.LookNow(true);
+  two.election.ReadLeaderKeyNow(true);
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.MayOrder(); }));
   CHECK(BootClock::now() - began < kOrdersEndAfter);
-  CHECK(two.election.knows_loads());
+  CHECK(two.election.load_history_known());
 }
 
 TEST_CASE("A leader that resigns while it settles hands on what it ordered") {
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -1,7 +1,7 @@
 // Every interleaving of a small world: three machines that lead in turn, leases that lapse,
 // renewals whose answers are lost, orders under way, planned stops, restarts, a store that comes
-// back from an older copy. The shipped OrderWindow, OrderHistory, EraWait and FencingToken decide;
-// each rule is also left out in turn, and harm is found.
+// back from an older copy. The shipped OrderWindow, OrderHistory, StoreRestoreWait and FencingToken
+// decide; each rule is also left out in turn, and harm is found.
 
 #include <array>
 #include <catch2/catch.hpp>
@@ -62,7 +62,7 @@
   Time others_from{};
   bool resigned = false;
   std::optional<PendingClaim> pending;
-  EraWait era_wait{kLease / 2 + milliseconds(600) + kApart + milliseconds(300)};
+  StoreRestoreWait era_wait{kLease / 2 + milliseconds(600) + kApart + milliseconds(300)};
   std::int64_t lease_era = 0;
 };
 
@@ -224,7 +224,7 @@
   }
 
   /// What the machine would see of the key now.
-  static LeaderKeySight SightOf(const World& world) {
+  static LeaderKeyState SightOf(const World& world) {
     if (world.key.owner < 0) return {std::nullopt, {world.era, 0}, false};
     LeaderRecord record;
     record.name = Name(world.key.owner);
@@ -362,8 +362,8 @@
     const bool tells_now = !rules_.copies_tell_the_past || world.key.written_in == world.era;
     const bool own = world.key.owner == index && !world.key.released;
     if (tells_now && world.key.owner >= 0) machine.era_wait.NoteRecord(RecordOf(world));
-    const bool follows_own =
-        !(tells_now && world.key.released) && machine.window.FollowsOwn(world.now, kWaitAfterOther);
+    const bool follows_own = !(tells_now && world.key.released) &&
+                             machine.window.ContinuesOwnTerm(world.now, kWaitAfterOther);
     const Time covered = world.now + kApart + milliseconds(900);
     machine.others_from = own && rules_.own_process_unknown ? covered : Time{};
     milliseconds wait = rules_.wait_after_win ? kWaitAfterOther : milliseconds(0);
@@ -375,7 +375,7 @@
     } else if (tells_now && world.key.owner == index && world.key.settled) {
       machine.history.Begin();
       wait = kOwnWait;
-    } else if (machine.window.FollowsOwn(world.now, kWaitAfterOther)) {
+    } else if (machine.window.ContinuesOwnTerm(world.now, kWaitAfterOther)) {
       wait = kOwnWait;
     } else {
       machine.history.Begin();
@@ -406,7 +406,7 @@
     world.key.revision = claimed;
     world.key.written_in = world.era;
     for (int other = 0; other < kMachines; ++other)
-      if (other != index) At(world, other).window.NoteOtherTerm();
+      if (other != index) At(world, other).window.NoteOtherLeader();
   }
 
   void Arrive(World& world, const Arrival& arrival) {
