--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -58,7 +58,7 @@
 }
 
 bool LeaderElection::ServerSafeToOrder(const std::string& server_id) const {
-  return BootClock::now() >= history_.FreeAt(server_id);
+  return BootClock::now() >= history_.SafeToOrderFrom(server_id);
 }
 
 milliseconds LeaderElection::Jitter() const {
@@ -230,7 +230,7 @@
   others_from_ =
       claimed_own_ ? now + settings_.orders_apart + kMaxOrderDuration + kWaitMargin : Time{};
   if (taken_over_) {
-    history_.TakeOver(*taken_over_, taken_over_seen_);
+    history_.Inherit(*taken_over_, taken_over_seen_);
     const Time quiet_until = taken_over_seen_ + milliseconds(taken_over_->quiet_ms);
     return std::chrono::ceil<milliseconds>(std::max(quiet_until, now) - now);
   }
--- a/src/fleet/order_history.cc
+++ b/src/fleet/order_history.cc
@@ -28,11 +28,11 @@
   loads_ = LoadWindow(load_window_);
 }
 
-void OrderHistory::TakeOver(const OrderHistoryRecord& record, Time seen_at) {
+void OrderHistory::Inherit(const OrderHistoryRecord& record, Time seen_at) {
   Begin();
-  for (const OrderedServer& server : record.servers)
+  for (const RecentServerOrder& server : record.servers)
     inherited_[server.server_id].push_back({server.holder, seen_at - Milliseconds(server.age_ms)});
-  for (const std::int64_t left : record.loads_count_for_ms)
+  for (const std::int64_t left : record.load_remaining_ms)
     loads_.CountUntil(seen_at + Milliseconds(left) + kMargin);
 }
 
@@ -40,7 +40,7 @@
   return entry.ordered_at + (entry.holder == holder_ ? kAfterOwn : orders_apart_ + kMargin);
 }
 
-OrderHistory::Time OrderHistory::FreeAt(const std::string& server_id) const {
+OrderHistory::Time OrderHistory::SafeToOrderFrom(const std::string& server_id) const {
   Time free{};
   const auto found = inherited_.find(server_id);
   if (found == inherited_.end()) return free;
@@ -50,7 +50,7 @@
 
 bool OrderHistory::Clear(Time now) const {
   return std::all_of(inherited_.begin(), inherited_.end(),
-                     [&](const auto& entry) { return now >= FreeAt(entry.first); });
+                     [&](const auto& entry) { return now >= SafeToOrderFrom(entry.first); });
 }
 
 OrderHistoryRecord OrderHistory::Write(Time now, Time order_from) const {
@@ -66,7 +66,7 @@
   for (const auto& [server_id, at] : ordered_)
     if (now < at + longest) record.servers.push_back({server_id, holder_, age(at)});
   for (const Milliseconds left : loads_.Remaining(now))
-    record.loads_count_for_ms.push_back(left.count());
+    record.load_remaining_ms.push_back(left.count());
   return record;
 }
 
--- a/src/fleet/order_history.h
+++ b/src/fleet/order_history.h
@@ -16,7 +16,7 @@
 
 /// In a released leader record: `holder`'s last order to a server ended `age_ms` before the
 /// writing.
-struct OrderedServer {
+struct RecentServerOrder {
   std::string server_id;
   std::string holder;
   std::int64_t age_ms = 0;
@@ -32,13 +32,13 @@
 struct OrderHistoryRecord {
   /// For how long no server may be ordered at all: the leader was itself still waiting.
   std::int64_t quiet_ms = 0;
-  std::vector<OrderedServer> servers;
+  std::vector<RecentServerOrder> servers;
   /// For how long each load from the weight store still counts against the bound on loads.
-  std::vector<std::int64_t> loads_count_for_ms;
+  std::vector<std::int64_t> load_remaining_ms;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(quiet_ms, servers, loads_count_for_ms);
+    archive(quiet_ms, servers, load_remaining_ms);
   }
 };
 
@@ -58,7 +58,7 @@
   void Begin();
   /// A term begins on what the leader before has left.
   /// @param seen_at when this machine first saw the record; it was written no later.
-  void TakeOver(const OrderHistoryRecord& record, Time seen_at);
+  void Inherit(const OrderHistoryRecord& record, Time seen_at);
 
   /// An order to the server has been answered or given up.
   void NoteOrder(const std::string& server_id, Time now) {
@@ -66,7 +66,7 @@
     last = std::max(last, now);
   }
   /// @return when orders of others can no longer lie too close to one that is sent then.
-  Time FreeAt(const std::string& server_id) const;
+  Time SafeToOrderFrom(const std::string& server_id) const;
   /// @return whether nothing that was inherited matters any more.
   bool Clear(Time now) const;
   /// @param order_from when this leader may, or might have, begun to order at all.
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -44,7 +44,7 @@
     released = {"edge-2", "10.0.0.2:7001", false, true, {}, 3};
     released.history.quiet_ms = 1'200;
     released.history.servers = {{"i-1", "edge-2", 300}, {"i-2", "edge-1", 2'500}};
-    released.history.loads_count_for_ms = {4'000, 10};
+    released.history.load_remaining_ms = {4'000, 10};
     report.sender = "edge-3";
     report.address = "10.0.0.3:7001";
     report.uptime_ms = 61'000;
@@ -148,7 +148,7 @@
     CHECK(released.history.quiet_ms == 1'200);
     REQUIRE(released.history.servers.size() == 2);
     CHECK(released.history.servers[1].holder == "edge-1");
-    CHECK(released.history.loads_count_for_ms == std::vector<std::int64_t>{4'000, 10});
+    CHECK(released.history.load_remaining_ms == std::vector<std::int64_t>{4'000, 10});
     const auto report = LoadMessage<DemandReport>(build, "demand_report");
     CHECK(report.sender == "edge-3");
     CHECK(report.format == (eras ? kMessageFormat : 0));
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -273,7 +273,7 @@
     const bool in_time = rules_.stop_at_half_lease ? machine.window.MayOrder(world.now)
                                                    : machine.window.Settled(world.now) &&
                                                          !machine.window.Lapsed(world.now);
-    const bool free = !rules_.keep_away || world.now >= machine.history.FreeAt(kServer);
+    const bool free = !rules_.keep_away || world.now >= machine.history.SafeToOrderFrom(kServer);
     return in_time && free && !machine.resigned;
   }
 
@@ -369,7 +369,7 @@
     milliseconds wait = rules_.wait_after_win ? kWaitAfterOther : milliseconds(0);
     if (tells_now &&
         world.key.released) {  // The earliest sight of the record is the most dangerous.
-      machine.history.TakeOver(*world.key.released, world.key.written);
+      machine.history.Inherit(*world.key.released, world.key.written);
       const Time quiet = world.key.written + milliseconds(world.key.released->quiet_ms);
       wait = std::chrono::ceil<milliseconds>(std::max(quiet, world.now) - world.now);
     } else if (tells_now && world.key.owner == index && world.key.settled) {
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -27,11 +27,11 @@
   CHECK(record.quiet_ms == 0);
   OrderHistory next = Make("b");
   const Time seen = kStart + milliseconds(2'500);
-  next.TakeOver(record, seen);
-  CHECK(next.FreeAt("i-3") <= seen);
+  next.Inherit(record, seen);
+  CHECK(next.SafeToOrderFrom("i-3") <= seen);
   // 3,000 apart and 300 to spare; the order ended 2,000 before the record was written.
-  CHECK(next.FreeAt("i-1") == seen + milliseconds(1'300));
-  CHECK(next.FreeAt("i-2") == seen + milliseconds(3'300));
+  CHECK(next.SafeToOrderFrom("i-1") == seen + milliseconds(1'300));
+  CHECK(next.SafeToOrderFrom("i-2") == seen + milliseconds(3'300));
   CHECK_FALSE(next.Clear(seen + milliseconds(3'299)));
   CHECK(next.Clear(seen + milliseconds(3'300)));
 }
@@ -40,23 +40,23 @@
   OrderHistory before = Make("a");
   before.NoteOrder("i-1", kStart);
   OrderHistory again = Make("a");
-  again.TakeOver(before.Write(kStart, kStart), kStart);
-  CHECK(again.FreeAt("i-1") == kStart + milliseconds(400));
+  again.Inherit(before.Write(kStart, kStart), kStart);
+  CHECK(again.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
 TEST_CASE("What a leader inherited, and its own wait, are handed on by it") {
   OrderHistory first = Make("a");
   first.NoteOrder("i-1", kStart);
   OrderHistory second = Make("b");
-  second.TakeOver(first.Write(kStart, kStart), kStart);
+  second.Inherit(first.Write(kStart, kStart), kStart);
   const Time later = kStart + milliseconds(1'000);
   second.NoteOrder("i-2", later);
   const OrderHistoryRecord record = second.Write(later, kStart + milliseconds(2'400));
   CHECK(record.quiet_ms == 1'400);
   OrderHistory third = Make("c");
-  third.TakeOver(record, later);
-  CHECK(third.FreeAt("i-1") == kStart + milliseconds(3'300));
-  CHECK(third.FreeAt("i-2") == later + milliseconds(3'300));
+  third.Inherit(record, later);
+  CHECK(third.SafeToOrderFrom("i-1") == kStart + milliseconds(3'300));
+  CHECK(third.SafeToOrderFrom("i-2") == later + milliseconds(3'300));
   CHECK(second.Write(kStart + milliseconds(20'000), kStart).servers.empty());
   second.Begin();
   CHECK(second.Clear(kStart));
@@ -68,7 +68,7 @@
   before.loads().CountUnanswered(kStart);
   const Time later = kStart + milliseconds(1'000);
   OrderHistory next = Make("b");
-  next.TakeOver(before.Write(later, kStart), later);
+  next.Inherit(before.Write(later, kStart), later);
   CHECK(next.loads().Free(2, later) == Approx(3));
   CHECK(next.loads().Free(2, kStart + milliseconds(5'200)) == Approx(3));
   CHECK(next.loads().Free(2, kStart + milliseconds(5'400)) == Approx(9));
