--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -134,8 +134,8 @@
   const double window_s = std::chrono::duration<double>(settings_.load_window).count();
   for (const ServiceDescription& service : view_.routes->configuration().services)
     if (service.engine)
-      election_.loads().AssumeUsed(service.engine->loads_per_second * kShareAssumedUsed * window_s,
-                                   BootClock::now());
+      election_.loads().RecordAssumedLoads(
+          service.engine->loads_per_second * kShareAssumedUsed * window_s, BootClock::now());
 }
 
 void FleetController::PlanAll() {
@@ -236,9 +236,9 @@
   const auto now = BootClock::now();
   for (const auto& [id, managed] : managed_)
     if (!managed->incoming.empty() && managed->from_weight_store)
-      store_limit_.NoteUnderWay(managed->load_stated,
-                                std::chrono::duration_cast<milliseconds>(now - managed->load_began),
-                                managed->loads_together, now);
+      store_limit_.RecordLoadInProgress(
+          managed->load_stated, std::chrono::duration_cast<milliseconds>(now - managed->load_began),
+          managed->loads_together, now);
 }
 
 milliseconds FleetController::LongestLoad(const EngineDescription& engine) {
@@ -254,8 +254,8 @@
   for (const ServerPtr& server : view_.servers.Of(service.name))
     servers.push_back(Describe(*server));
   const double loads =
-      std::min(election_.loads().Free(service.engine->loads_per_second, now),
-               store_limit_.Free(StoreLoadsUnderWay(), LongestLoad(*service.engine)));
+      std::min(election_.loads().AvailableLoads(service.engine->loads_per_second, now),
+               store_limit_.AvailableLoads(StoreLoadsUnderWay(), LongestLoad(*service.engine)));
   const PlannerLimits limits{loads, kSlotShare * service.engine->slots};
   PlacementPlanner planner(*service.engine, demand_.Of(service.name, now), std::move(servers),
                            limits, now);
@@ -292,7 +292,7 @@
     managed->loads_together = StoreLoadsUnderWay();
   }
   if (step.from_weight_store) {
-    election_.loads().Count(BootClock::now());
+    election_.loads().RecordLoad(BootClock::now());
     ++metrics_.loads_from_weight_store;
   }
   if (step.kind == ServerOrderKind::kUnload) Notify(*managed, step.name, false);
@@ -397,7 +397,7 @@
   managed.incoming.clear();
   if (outcome == ServerOrderOutcome::kAlreadyDone) return;
   if (outcome == ServerOrderOutcome::kNoAnswer && step.from_weight_store)
-    election_.loads().CountUnanswered(BootClock::now());
+    election_.loads().RecordUnansweredLoad(BootClock::now());
   managed.not_before = BootClock::now() + kAfterFailure;
 }
 
@@ -455,9 +455,9 @@
       TakeReport(*managed, *report);
       managed->incoming.clear();
       if (load && step.from_weight_store)
-        store_limit_.NoteLoad(step.expected,
-                              std::chrono::duration_cast<milliseconds>(BootClock::now() - began),
-                              together, BootClock::now());
+        store_limit_.RecordCompletedLoad(
+            step.expected, std::chrono::duration_cast<milliseconds>(BootClock::now() - began),
+            together, BootClock::now());
       if (load && Shows(report->models, step.name)) Notify(*managed, step.name, true);
       co_return;
     }
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -10,8 +10,8 @@
 #include "common/event_log.h"
 #include "fleet/fleet_demand.h"
 #include "fleet/leader_election.h"
+#include "fleet/load_concurrency_limit.h"
 #include "fleet/placement_planner.h"
-#include "fleet/store_load_limit.h"
 #include "gateway/fleet_view.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/server_statements.h"
@@ -135,7 +135,7 @@
   Pace adapter_pace_;
   FleetDemand demand_;
   std::map<std::string, ManagedPtr> managed_;
-  StoreLoadLimit store_limit_;
+  LoadConcurrencyLimit store_limit_;
   std::int64_t term_ = 0;  ///< Fencing token of the term that `managed_` belongs to.
   std::size_t sending_ = 0;
   bool stopped_ = false;
--- a/src/fleet/leader_election.h
+++ b/src/fleet/leader_election.h
@@ -176,7 +176,7 @@
   bool ServerSafeToOrder(const std::string& server_id) const;
   /// An order to the server has been answered or given up.
   void NoteOrder(const std::string& server_id) { history_.NoteOrder(server_id, BootClock::now()); }
-  LoadWindow& loads() { return history_.loads(); }
+  LoadRateLimiter& loads() { return history_.loads(); }
   /// @return whether the loads of the leader before are known and counted.
   bool load_history_known() const { return knows_loads_; }
   std::int64_t fencing_token() const { return token_; }
--- a/src/fleet/store_load_limit.h
+++ b/src/fleet/load_concurrency_limit.h
@@ -11,7 +11,7 @@
 /// speed among them: beyond some number each takes longer and none is gained, but the urgent ones
 /// wait behind the others. That number is nowhere stated, so it is learned from how long loads
 /// take, or are taking, against what the operator states for one alone. One thread.
-class StoreLoadLimit {
+class LoadConcurrencyLimit {
  public:
   using Time = BootClock::time_point;
 
@@ -19,8 +19,8 @@
   /// @param stated how long it takes alone.
   /// @param taken how long it took, as far as seen: up to a poll's pause too long.
   /// @param together loads that were under way when it began, itself included.
-  void NoteLoad(std::chrono::milliseconds stated, std::chrono::milliseconds taken,
-                std::size_t together, Time now) {
+  void RecordCompletedLoad(std::chrono::milliseconds stated, std::chrono::milliseconds taken,
+                           std::size_t together, Time now) {
     if (stated.count() <= 0 || taken.count() <= 0 || together == 0) return;
     if (Slowed(stated, taken)) {
       NoteSlowed(stated, taken, together, now);
@@ -31,14 +31,14 @@
     if (full && now - slowed_at_ > kBelieved) limit_ = std::min(kMost, limit_ + 1);
   }
   /// A load is still under way: where it is late already, that shows long before its end.
-  void NoteUnderWay(std::chrono::milliseconds stated, std::chrono::milliseconds so_far,
-                    std::size_t together, Time now) {
+  void RecordLoadInProgress(std::chrono::milliseconds stated, std::chrono::milliseconds so_far,
+                            std::size_t together, Time now) {
     if (stated.count() > 0 && together > 0 && Slowed(stated, so_far))
       NoteSlowed(stated, so_far, together, now);
   }
   /// @param stated how long the load that is to begin takes alone.
   /// @return loads that may begin beside those under way.
-  double Free(std::size_t under_way, std::chrono::milliseconds stated) {
+  double AvailableLoads(std::size_t under_way, std::chrono::milliseconds stated) {
     const double limit = learned_ ? limit_ : First(stated);
     return std::max(0.0, limit - static_cast<double>(under_way));
   }
--- a/src/fleet/order_history.cc
+++ b/src/fleet/order_history.cc
@@ -25,7 +25,7 @@
 void OrderHistory::Begin() {
   ordered_.clear();
   inherited_.clear();
-  loads_ = LoadWindow(load_window_);
+  loads_ = LoadRateLimiter(load_window_);
 }
 
 void OrderHistory::Inherit(const OrderHistoryRecord& record, Time seen_at) {
@@ -33,7 +33,7 @@
   for (const RecentServerOrder& server : record.servers)
     inherited_[server.server_id].push_back({server.holder, seen_at - Milliseconds(server.age_ms)});
   for (const std::int64_t left : record.load_remaining_ms)
-    loads_.CountUntil(seen_at + Milliseconds(left) + kMargin);
+    loads_.RecordLoadUntil(seen_at + Milliseconds(left) + kMargin);
 }
 
 OrderHistory::Time OrderHistory::FreeAfter(const Inherited& entry) const {
--- a/src/fleet/order_history.h
+++ b/src/fleet/order_history.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/boot_clock.h"
-#include "fleet/load_window.h"
+#include "fleet/load_rate_limiter.h"
 
 namespace moorfold {
 
@@ -72,7 +72,7 @@
   /// @param order_from when this leader may, or might have, begun to order at all.
   OrderHistoryRecord Write(Time now, Time order_from) const;
 
-  LoadWindow& loads() { return loads_; }
+  LoadRateLimiter& loads() { return loads_; }
 
  private:
   struct Inherited {
@@ -84,7 +84,7 @@
   std::string holder_;
   Milliseconds orders_apart_;
   Milliseconds load_window_;
-  LoadWindow loads_;
+  LoadRateLimiter loads_;
   std::map<std::string, Time> ordered_;
   std::map<std::string, std::vector<Inherited>> inherited_;
 };
--- a/test/fleet/fleet_demand_test.cc
+++ b/test/fleet/fleet_demand_test.cc
@@ -6,7 +6,7 @@
 
 #include "common/boot_clock.h"
 #include "demand_report.h"
-#include "fleet/load_window.h"
+#include "fleet/load_rate_limiter.h"
 
 namespace moorfold {
 namespace {
@@ -18,14 +18,14 @@
 const Time kNow{seconds(1000)};
 
 TEST_CASE("Loads that may begin keep to the rate in every window, also late ones") {
-  LoadWindow window(milliseconds(5'000));
-  CHECK(window.Free(4, kNow) == 20);
-  for (int load = 0; load < 20; ++load) window.Count(kNow);
-  CHECK(window.Free(4, kNow + milliseconds(4'999)) == 0);
-  CHECK(window.Free(4, kNow + milliseconds(5'001)) == 20);
-  window.CountUnanswered(kNow + seconds(6));
-  CHECK(window.Free(4, kNow + seconds(20)) == 19);
-  CHECK(window.Free(4, kNow + seconds(30)) == 20);
+  LoadRateLimiter window(milliseconds(5'000));
+  CHECK(window.AvailableLoads(4, kNow) == 20);
+  for (int load = 0; load < 20; ++load) window.RecordLoad(kNow);
+  CHECK(window.AvailableLoads(4, kNow + milliseconds(4'999)) == 0);
+  CHECK(window.AvailableLoads(4, kNow + milliseconds(5'001)) == 20);
+  window.RecordUnansweredLoad(kNow + seconds(6));
+  CHECK(window.AvailableLoads(4, kNow + seconds(20)) == 19);
+  CHECK(window.AvailableLoads(4, kNow + seconds(30)) == 20);
 }
 
 TEST_CASE("Demand adds up over daemons, and a silent daemon's share passes") {
--- a/test/fleet/leader_election_test.cc
+++ b/test/fleet/leader_election_test.cc
@@ -42,7 +42,7 @@
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   Candidate two(context, table, "two", apart);
   one.election.NoteOrder("i-1");
-  for (int load = 0; load < 4; ++load) one.election.loads().Count(BootClock::now());
+  for (int load = 0; load < 4; ++load) one.election.loads().RecordLoad(BootClock::now());
   bool resigned = false;
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.MayOrder(); }));
@@ -50,7 +50,7 @@
   CHECK_FALSE(two.election.ServerSafeToOrder("i-1"));
   CHECK(two.election.ServerSafeToOrder("i-2"));
   CHECK(two.election.load_history_known());
-  CHECK(two.election.loads().Free(1, BootClock::now()) == 1);
+  CHECK(two.election.loads().AvailableLoads(1, BootClock::now()) == 1);
 }
 
 TEST_CASE("A leader that cannot release its key leaves it to its lease") {
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -64,15 +64,15 @@
 
 TEST_CASE("Loads of the leader before count against the bound on loads") {
   OrderHistory before = Make("a");
-  for (int load = 0; load < 6; ++load) before.loads().Count(kStart);
-  before.loads().CountUnanswered(kStart);
+  for (int load = 0; load < 6; ++load) before.loads().RecordLoad(kStart);
+  before.loads().RecordUnansweredLoad(kStart);
   const Time later = kStart + milliseconds(1'000);
   OrderHistory next = Make("b");
   next.Inherit(before.Write(later, kStart), later);
-  CHECK(next.loads().Free(2, later) == Approx(3));
-  CHECK(next.loads().Free(2, kStart + milliseconds(5'200)) == Approx(3));
-  CHECK(next.loads().Free(2, kStart + milliseconds(5'400)) == Approx(9));
-  CHECK(next.loads().Free(2, kStart + milliseconds(60'000)) == Approx(10));
+  CHECK(next.loads().AvailableLoads(2, later) == Approx(3));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'200)) == Approx(3));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'400)) == Approx(9));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(60'000)) == Approx(10));
 }
 
 DemandReport Report(const std::string& name, int uptime_ms, bool stopping = false) {
--- a/test/fleet/placement_value_test.cc
+++ b/test/fleet/placement_value_test.cc
@@ -6,7 +6,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "fleet/store_load_limit.h"
+#include "fleet/load_concurrency_limit.h"
 
 namespace moorfold {
 namespace {
@@ -84,55 +84,57 @@
 
 TEST_CASE("Loads at once follow the number from which on each takes longer") {
   // Found on the bench: thirteen loads at once took 12 s each where four take 6 s.
-  StoreLoadLimit limit;
+  LoadConcurrencyLimit limit;
   for (int load = 0; load < 20; ++load)
-    limit.NoteLoad(milliseconds(6'000), milliseconds(6'100),
-                   static_cast<std::size_t>(limit.limit()), kNow);
+    limit.RecordCompletedLoad(milliseconds(6'000), milliseconds(6'100),
+                              static_cast<std::size_t>(limit.limit()), kNow);
   CHECK(limit.limit() > 10);
-  limit.NoteLoad(milliseconds(6'000), milliseconds(12'000), 10, kNow);
+  limit.RecordCompletedLoad(milliseconds(6'000), milliseconds(12'000), 10, kNow);
   CHECK(limit.limit() == Approx(5));  // Ten at half of the speed: five get all of it.
-  CHECK(limit.Free(3, milliseconds(6'000)) == Approx(2));
-  CHECK(limit.Free(9, milliseconds(6'000)) == 0);
+  CHECK(limit.AvailableLoads(3, milliseconds(6'000)) == Approx(2));
+  CHECK(limit.AvailableLoads(9, milliseconds(6'000)) == 0);
   // It is not tried again at once, but after a while.
-  limit.NoteLoad(milliseconds(6'000), milliseconds(6'100), 5, kNow + std::chrono::seconds(59));
+  limit.RecordCompletedLoad(milliseconds(6'000), milliseconds(6'100), 5,
+                            kNow + std::chrono::seconds(59));
   CHECK(limit.limit() == Approx(5));
-  limit.NoteLoad(milliseconds(6'000), milliseconds(6'100), 5, kNow + std::chrono::seconds(61));
+  limit.RecordCompletedLoad(milliseconds(6'000), milliseconds(6'100), 5,
+                            kNow + std::chrono::seconds(61));
   CHECK(limit.limit() == Approx(6));
 }
 
 TEST_CASE("Where loads are long, few begin before one has been timed, and a late one shows early") {
-  StoreLoadLimit limit;
-  CHECK(limit.Free(0, milliseconds(13'200)) == Approx(1));
-  CHECK(limit.Free(0, milliseconds(6'000)) == Approx(2));
-  CHECK(limit.Free(0, milliseconds(1'300)) == Approx(4));
-  limit.NoteLoad(milliseconds(13'200), milliseconds(13'300), 1, kNow);
-  CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2));
-  limit.NoteUnderWay(milliseconds(13'200), milliseconds(16'900), 2, kNow);  // Not yet late.
-  CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2));
-  limit.NoteUnderWay(milliseconds(13'200), milliseconds(17'100), 2, kNow);
-  CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2 * 13.2 / 17.1));
-  limit.NoteUnderWay(milliseconds(13'200), milliseconds(26'400), 2, kNow);
-  CHECK(limit.Free(0, milliseconds(13'200)) == Approx(1));
+  LoadConcurrencyLimit limit;
+  CHECK(limit.AvailableLoads(0, milliseconds(13'200)) == Approx(1));
+  CHECK(limit.AvailableLoads(0, milliseconds(6'000)) == Approx(2));
+  CHECK(limit.AvailableLoads(0, milliseconds(1'300)) == Approx(4));
+  limit.RecordCompletedLoad(milliseconds(13'200), milliseconds(13'300), 1, kNow);
+  CHECK(limit.AvailableLoads(0, milliseconds(13'200)) == Approx(2));
+  limit.RecordLoadInProgress(milliseconds(13'200), milliseconds(16'900), 2, kNow);  // Not yet late.
+  CHECK(limit.AvailableLoads(0, milliseconds(13'200)) == Approx(2));
+  limit.RecordLoadInProgress(milliseconds(13'200), milliseconds(17'100), 2, kNow);
+  CHECK(limit.AvailableLoads(0, milliseconds(13'200)) == Approx(2 * 13.2 / 17.1));
+  limit.RecordLoadInProgress(milliseconds(13'200), milliseconds(26'400), 2, kNow);
+  CHECK(limit.AvailableLoads(0, milliseconds(13'200)) == Approx(1));
 }
 
 TEST_CASE("Short loads whose end is seen late do not count as slowed") {
-  StoreLoadLimit limit;
+  LoadConcurrencyLimit limit;
   for (int load = 0; load < 20; ++load)
-    limit.NoteLoad(milliseconds(1'300), milliseconds(2'000),
-                   static_cast<std::size_t>(limit.limit()), kNow);
+    limit.RecordCompletedLoad(milliseconds(1'300), milliseconds(2'000),
+                              static_cast<std::size_t>(limit.limit()), kNow);
   CHECK(limit.limit() > 10);
-  limit.NoteLoad(milliseconds(1'300), milliseconds(2'600), 10, kNow);
+  limit.RecordCompletedLoad(milliseconds(1'300), milliseconds(2'600), 10, kNow);
   CHECK(limit.limit() == Approx(5));
 }
 
 TEST_CASE("The bound on loads at once stays between its bounds, whatever loads take") {
   rc::check([] {
-    StoreLoadLimit limit;
+    LoadConcurrencyLimit limit;
     for (int load = 0; load < 50; ++load) {
-      limit.NoteLoad(milliseconds(*rc::gen::inRange(-5, 10'000)),
-                     milliseconds(*rc::gen::inRange(-5, 1'000'000)),
-                     static_cast<std::size_t>(*rc::gen::inRange(0, 2'000)),
-                     kNow + std::chrono::seconds(load * 30));
+      limit.RecordCompletedLoad(milliseconds(*rc::gen::inRange(-5, 10'000)),
+                                milliseconds(*rc::gen::inRange(-5, 1'000'000)),
+                                static_cast<std::size_t>(*rc::gen::inRange(0, 2'000)),
+                                kNow + std::chrono::seconds(load * 30));
       RC_ASSERT(limit.limit() >= 1);
       RC_ASSERT(limit.limit() <= 1'000);
     }
