--- a/src/fleet/server_statement.h
+++ b/src/fleet/server_advisory.h
@@ -8,7 +8,7 @@
 namespace moorfold {
 
 /// What a server says of itself beside one answer.
-struct ServerStatement {
+struct ServerAdvisory {
   bool leaving = false;  ///< It is about to end.
   /// Requests a second that it takes from all daemons together; nothing: it names no limit.
   std::optional<double> limit_per_second;
@@ -18,15 +18,15 @@
 
 /// What a server has said of itself so far, in one life. Entries of the store know none of it, so
 /// no entry that is read anew takes it back. Pure.
-struct ServerStanding {
+struct ServerAdvisoryState {
   using Time = BootClock::time_point;
 
   bool leaving = false;                    ///< For the rest of its life.
   std::optional<double> limit_per_second;  ///< In force until an answer names it no more.
-  Time limit_heard_at{};                   ///< When an answer last named it.
+  Time limit_received_at{};                ///< When an answer last named it.
   /// When the request was sent whose answer showed `limit_per_second` as it is: the server said so
   /// no earlier.
-  Time limit_as_of{};
+  Time limit_requested_at{};
   Time paused_until{};
 
   /// Takes over what an answer says.
@@ -35,7 +35,7 @@
   /// other.
   /// @param from_run whether the server ran the request. Only then does a missing limit mean none.
   /// @return whether anything is new.
-  bool Take(const ServerStatement& statement, Time sent_at, Time now, bool from_run);
+  bool Take(const ServerAdvisory& statement, Time sent_at, Time now, bool from_run);
 };
 
 }  // namespace moorfold
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -154,7 +154,7 @@
 
 bool ServerDirectory::Put(ServerRecord record, SteadyTime now) {
   const auto found = by_id_.find(record.id);
-  ServerStanding said;
+  ServerAdvisoryState said;
   if (found != by_id_.end()) {
     const ServerPtr known = found->second;
     const ServerRecord& before = known->record();
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "common/boot_clock.h"
+#include "fleet/server_advisory.h"
 #include "fleet/server_record.h"
-#include "fleet/server_statement.h"
 #include "gateway/prompt.h"
 
 namespace moorfold {
@@ -68,16 +68,16 @@
   /// Whether it wants nothing of this daemon now, though a request was let through to it before.
   bool TurnsAway(SteadyTime now) const { return Leaves() || now < standing_.paused_until; }
 
-  /// Takes over what an answer of it says of itself, see ServerStanding::Take.
-  bool TakeStatement(const ServerStatement& statement, SteadyTime sent_at, SteadyTime now,
+  /// Takes over what an answer of it says of itself, see ServerAdvisoryState::Take.
+  bool TakeStatement(const ServerAdvisory& statement, SteadyTime sent_at, SteadyTime now,
                      bool from_run) {
     return standing_.Take(statement, sent_at, now, from_run);
   }
-  const ServerStanding& standing() const { return standing_; }
+  const ServerAdvisoryState& standing() const { return standing_; }
   /// Another daemon has heard that the server names no limit any more.
   /// @param known_at what was heard here after that counts more.
   void EndLimit(SteadyTime known_at) {
-    if (standing_.limit_heard_at <= known_at) standing_.limit_per_second.reset();
+    if (standing_.limit_received_at <= known_at) standing_.limit_per_second.reset();
   }
   /// All that the server takes from all daemons is taken until then.
   void NoteAtLimit(SteadyTime until) { at_limit_until_ = until; }
@@ -88,7 +88,7 @@
     return std::max(standing_.paused_until, limited ? at_limit_until_ : SteadyTime{});
   }
   /// What it had said in this life before this daemon lost sight of its entry.
-  void Restore(const ServerStanding& standing) { standing_ = standing; }
+  void Restore(const ServerAdvisoryState& standing) { standing_ = standing; }
 
   void BeginRequest() { ++in_flight_; }
   void EndRequest() { --in_flight_; }
@@ -131,7 +131,7 @@
 
   ServerRecord record_;
   std::vector<NotedModel> notes_;
-  ServerStanding standing_;
+  ServerAdvisoryState standing_;
   bool gone_ = false;
   std::uint32_t in_flight_ = 0;
   std::uint32_t failures_in_row_ = 0;
--- a/src/gateway/server_entries.h
+++ b/src/gateway/server_entries.h
@@ -52,7 +52,7 @@
   struct Departed {
     std::int64_t life = 0;
     bool leaving = false;  ///< It had said so.
-    ServerStanding standing;
+    ServerAdvisoryState standing;
     SteadyTime at{};
   };
   /// An entry of a copy that is not believed yet.
--- a/src/ports/fleet_protocol.h
+++ b/src/ports/fleet_protocol.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "fleet/routing_configuration.h"
+#include "fleet/server_advisory.h"
 #include "fleet/server_record.h"
-#include "fleet/server_statement.h"
 #include "http/http_types.h"
 
 namespace moorfold {
@@ -57,7 +57,7 @@
   virtual HttpRequest MakeReportQuery(const std::string& server_id) const = 0;
   virtual ServerStatus ParseReport(std::string_view body) const = 0;
   /// @return what an answer says of its server. What cannot be read is taken as not said.
-  virtual ServerStatement ReadStatement(const HttpHeaders& headers, unsigned status) const = 0;
+  virtual ServerAdvisory ReadStatement(const HttpHeaders& headers, unsigned status) const = 0;
 };
 
 }  // namespace moorfold
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -34,13 +34,13 @@
   const auto now = BootClock::now();
   // Questions are told apart by it.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
-  const ServerStanding& standing = server.standing();
+  const ServerAdvisoryState& standing = server.standing();
   return {last_asked_us_,
           server.record().id,
           server.record().life,
           standing.limit_per_second.has_value(),
           standing.limit_per_second.value_or(0),
-          Microseconds(now - standing.limit_as_of),
+          Microseconds(now - standing.limit_requested_at),
           patience.count()};
 }
 
--- a/test/gateway/stated_leaving_test.cc
+++ b/test/gateway/stated_leaving_test.cc
@@ -49,7 +49,7 @@
   fixture.Start();
   const auto find = [&] { return fixture.view.servers.Find("i-1"); };
   REQUIRE(fixture.RunUntil([&] { return find() != nullptr; }));
-  ServerStatement statement;
+  ServerAdvisory statement;
   statement.leaving = true;
   find()->TakeStatement(statement, BootClock::now(), BootClock::now(), true);
   CHECK_FALSE(find()->Usable(BootClock::now()));
--- a/test/server_limits/permit_model_test.cc
+++ b/test/server_limits/permit_model_test.cc
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "fleet/server_statement.h"
+#include "fleet/server_advisory.h"
 #include "server_limits/limit_shares.h"
 #include "server_limits/own_turns.h"
 #include "server_limits/permit_pool.h"
@@ -70,7 +70,7 @@
 
  private:
   struct Daemon {
-    ServerStanding standing;
+    ServerAdvisoryState standing;
     std::optional<Time> told_at;
     Time at_limit_until{};
     Time silent_until{};
@@ -154,7 +154,7 @@
         0,
         true,
         *daemon.standing.limit_per_second,
-        std::chrono::duration_cast<microseconds>(now_ - daemon.standing.limit_as_of).count(),
+        std::chrono::duration_cast<microseconds>(now_ - daemon.standing.limit_requested_at).count(),
         0};
     const int life = daemon.life;
     const auto answered = std::make_shared<bool>(false);
@@ -204,7 +204,7 @@
     Later(Draw(20), [this, number, sent_at] {
       ++sent_;
       Count(number);
-      ServerStatement statement;
+      ServerAdvisory statement;
       statement.limit_per_second = limit_;
       const int life = daemons_[static_cast<std::size_t>(number)].life;
       Later(Draw(300), [this, number, life, sent_at, statement] {
--- a/test/server_limits/server_standing_test.cc
+++ b/test/server_limits/server_standing_test.cc
@@ -1,18 +1,18 @@
 #include <catch2/catch.hpp>
 
-#include "fleet/server_statement.h"
+#include "fleet/server_advisory.h"
 #include "gateway/server_directory.h"
 
 namespace moorfold {
 namespace {
 
 using std::chrono::milliseconds;
-using Time = ServerStanding::Time;
+using Time = ServerAdvisoryState::Time;
 
 const Time kStart{std::chrono::hours(1)};
 
-ServerStatement Limit(double per_second) {
-  ServerStatement statement;
+ServerAdvisory Limit(double per_second) {
+  ServerAdvisory statement;
   statement.limit_per_second = per_second;
   return statement;
 }
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("A limit holds until an answer to a later request names none") {
-  ServerStanding standing;
+  ServerAdvisoryState standing;
   CHECK(standing.Take(Limit(2), kStart, kStart + milliseconds(50), false));
   CHECK(standing.limit_per_second == 2.0);
   // Sent before the limit was heard: its answer may have been made before that, too.
