--- a/src/fleet/fencing_token.h
+++ b/src/fleet/fencing_token.h
@@ -8,21 +8,21 @@
 namespace moorfold {
 
 /// More revisions than a store gives out in one era: 5,000 a second for a week are 2^31.5.
-inline constexpr std::int64_t kTokensOfAnEra = std::int64_t{1} << 32;
+inline constexpr std::int64_t kTokensPerEra = std::int64_t{1} << 32;
 /// The greatest token: what JSON numbers hold for certain.
-inline constexpr std::int64_t kGreatestToken = (std::int64_t{1} << 53) - 1;
+inline constexpr std::int64_t kMaxFencingToken = (std::int64_t{1} << 53) - 1;
 
 /// The fencing token of a leader that claimed its key with a change of that revision. It rises with
 /// each claim, also where the store comes back from a copy and gives its revisions out again: the
 /// returns count before the revision. Without a return tokens are bare revisions, as builds that
 /// know no eras make them: leadership may pass between builds in both directions. A server without
 /// fences sees rising numbers and no more.
-/// @return at most kGreatestToken, which two million returns reach.
+/// @return at most kMaxFencingToken, which two million returns reach.
 constexpr std::int64_t FencingToken(const StoreRevision& claimed_at) {
   const std::int64_t returns = std::max<std::int64_t>(0, claimed_at.era - kEraWithoutReturn);
-  const std::int64_t number = std::min(claimed_at.number, kTokensOfAnEra - 1);
-  constexpr std::int64_t kMostReturns = kGreatestToken / kTokensOfAnEra;
-  return std::min(returns, kMostReturns) * kTokensOfAnEra + number;
+  const std::int64_t number = std::min(claimed_at.number, kTokensPerEra - 1);
+  constexpr std::int64_t kMostReturns = kMaxFencingToken / kTokensPerEra;
+  return std::min(returns, kMostReturns) * kTokensPerEra + number;
 }
 
 }  // namespace moorfold
--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -29,13 +29,13 @@
 
 const char* Name(ServerOrderOutcome outcome) {
   switch (outcome) {
-    case ServerOrderOutcome::kUnderWay:
+    case ServerOrderOutcome::kInProgress:
       return "under_way";
     case ServerOrderOutcome::kAlreadyDone:
       return "already_done";
     case ServerOrderOutcome::kConflict:
       return "conflict";
-    case ServerOrderOutcome::kOtherServer:
+    case ServerOrderOutcome::kOtherIncarnation:
       return "other_server";
     case ServerOrderOutcome::kRejected:
       return "rejected";
@@ -45,14 +45,14 @@
   return "unknown";
 }
 
-HeldModel* FindModel(std::vector<HeldModel>& models, const std::string& name) {
-  for (HeldModel& held : models)
+LoadedModel* FindModel(std::vector<LoadedModel>& models, const std::string& name) {
+  for (LoadedModel& held : models)
     if (held.name == name) return &held;
   return nullptr;
 }
 
-bool Shows(const std::vector<HeldModel>& models, const ModelReference& name) {
-  for (const HeldModel& held : models)
+bool Shows(const std::vector<LoadedModel>& models, const ModelReference& name) {
+  for (const LoadedModel& held : models)
     if (held.name == name.model) return name.adapter.empty() || held.HasAdapter(name.adapter);
   return false;
 }
@@ -195,7 +195,7 @@
 FleetController::ManagedPtr FleetController::ManagedLife(const ServerRecord& record) {
   // What was known and ordered of an earlier life went with it; what is under way there ends alone.
   const auto found = managed_.find(record.id);
-  if (found != managed_.end() && IsLaterLife(record.life, found->second->life))
+  if (found != managed_.end() && IsLaterIncarnation(record.life, found->second->life))
     managed_.erase(found);
   ManagedPtr managed = Managed(record.id);
   if (managed->life == 0) managed->life = record.life;
@@ -328,8 +328,8 @@
 
 void FleetController::TakeReport(ManagedServer& managed, const ServerStatus& report) {
   managed.models = report.models;
-  for (const HeldModel& incoming : report.incoming)
-    if (HeldModel* held = FindModel(managed.models, incoming.name))
+  for (const LoadedModel& incoming : report.incoming)
+    if (LoadedModel* held = FindModel(managed.models, incoming.name))
       held->adapters.insert(held->adapters.end(), incoming.adapters.begin(),
                             incoming.adapters.end());
   managed.in_memory = report.in_memory;
@@ -382,7 +382,7 @@
 
 void FleetController::TakeOutcome(ManagedServer& managed, const PlacementStep& step,
                                   ServerOrderOutcome outcome) {
-  if (outcome == ServerOrderOutcome::kUnderWay) {
+  if (outcome == ServerOrderOutcome::kInProgress) {
     ++managed.order_count;
     return;
   }
@@ -410,15 +410,15 @@
   NoteOrder(order, outcome);
   TakeOutcome(*managed, step, outcome);
   const bool refused =
-      outcome != ServerOrderOutcome::kUnderWay && outcome != ServerOrderOutcome::kNoAnswer;
+      outcome != ServerOrderOutcome::kInProgress && outcome != ServerOrderOutcome::kNoAnswer;
   if (step.kind == ServerOrderKind::kUnload && refused) Notify(*managed, step.name, true);
-  if (outcome == ServerOrderOutcome::kUnderWay) co_await AwaitDone(managed, step, endpoint);
+  if (outcome == ServerOrderOutcome::kInProgress) co_await AwaitDone(managed, step, endpoint);
   managed->operating = false;
   PlanSoon();
 }
 
 void FleetController::TakeAdapterChange(ManagedServer& managed, const PlacementStep& step) {
-  HeldModel* held = FindModel(managed.models, step.name.model);
+  LoadedModel* held = FindModel(managed.models, step.name.model);
   if (held == nullptr) return;
   std::erase(held->adapters, step.name.adapter);
   if (step.kind == ServerOrderKind::kLoad) held->adapters.push_back(step.name.adapter);
@@ -450,7 +450,7 @@
   while (BootClock::now() < give_up && view_.servers.Find(managed->id) != nullptr) {
     const std::optional<ServerStatus> report = co_await ReadReport(managed->id, endpoint);
     // The count of orders begins anew with each life: one that went with the last is never reached.
-    if (!Current(managed) || (report && IsLaterLife(report->life, managed->life))) break;
+    if (!Current(managed) || (report && IsLaterIncarnation(report->life, managed->life))) break;
     if (report && report->order_count >= managed->order_count && !report->busy) {
       TakeReport(*managed, *report);
       managed->incoming.clear();
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -27,7 +27,7 @@
   bool known = false;      ///< Its state and order count were read and nothing is uncertain.
   bool operating = false;  ///< An order or a question is under way.
   std::int64_t order_count = 0;
-  std::vector<HeldModel> models;
+  std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
   std::int64_t life = 0;  ///< Of the server, as ServerRecord has it.
--- a/src/fleet/fleet_members.cc
+++ b/src/fleet/fleet_members.cc
@@ -33,7 +33,7 @@
   return left.uptime < right.uptime;
 }
 
-std::optional<std::string> FleetMembers::Successor(Time now, bool strongest) const {
+std::optional<std::string> FleetMembers::ChooseSuccessor(Time now, bool strongest) const {
   const Member* best = nullptr;
   for (const auto& [name, member] : members_) {
     if (member.stopping || now - member.seen > kHeardLately) continue;
@@ -44,7 +44,7 @@
   return best->address;
 }
 
-std::vector<std::string> FleetMembers::Some(std::size_t most) {
+std::vector<std::string> FleetMembers::NextAddresses(std::size_t most) {
   std::vector<std::string> addresses;
   auto next = members_.upper_bound(told_last_);
   while (addresses.size() < std::min(most, members_.size())) {
--- a/src/fleet/fleet_members.h
+++ b/src/fleet/fleet_members.h
@@ -24,9 +24,9 @@
   /// @param strongest whether strong machines come before younger daemons: in a fleet whose changes
   /// a weak machine's link does not bring, a weak leader costs more than another change of leaders.
   /// @return its "IP:PORT" for datagrams, or nothing when no daemon may be offered it.
-  std::optional<std::string> Successor(Time now, bool strongest) const;
+  std::optional<std::string> ChooseSuccessor(Time now, bool strongest) const;
   /// @return addresses of up to `most` daemons, going round with each call.
-  std::vector<std::string> Some(std::size_t most);
+  std::vector<std::string> NextAddresses(std::size_t most);
 
  private:
   struct Member {
@@ -41,7 +41,7 @@
 
   std::map<std::string, Member> members_;  ///< By name; some longer than they count.
   Time forget_next_{};
-  std::string told_last_;  ///< Name of the last that Some returned.
+  std::string told_last_;  ///< Name of the last that NextAddresses returned.
 };
 
 }  // namespace moorfold
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -70,7 +70,7 @@
     if (!adapter_only) whole.waiting += demanded.waiting;
   }
   for (const PlannedServer& server : servers_)
-    for (const HeldModel& held : server.models)
+    for (const LoadedModel& held : server.models)
       if (const auto found = by_model_.find(held.name); server.serving && found != by_model_.end())
         ++found->second.standing;
 }
@@ -102,7 +102,7 @@
   return found->second.arrivals_per_second + found->second.in_flight + found->second.waiting;
 }
 
-double PlacementPlanner::HeldMegabytes(const HeldModel& held) const {
+double PlacementPlanner::HeldMegabytes(const LoadedModel& held) const {
   const ModelDescription* model = Describe(held.name);
   if (model == nullptr) return 0;
   return model->weights_mb + model->adapter_mb * static_cast<double>(held.adapters.size());
@@ -110,7 +110,7 @@
 
 double PlacementPlanner::FreeMegabytes(const PlannedServer& server) const {
   double free = engine_.weights_mb;
-  for (const HeldModel& held : server.models) free -= HeldMegabytes(held);
+  for (const LoadedModel& held : server.models) free -= HeldMegabytes(held);
   if (const ModelDescription* incoming = Describe(server.incoming))
     if (server.Find(server.incoming) == nullptr) free -= incoming->weights_mb;
   return free;
@@ -118,7 +118,7 @@
 
 std::size_t PlacementPlanner::AdaptersOn(const PlannedServer& server) const {
   std::size_t count = 0;
-  for (const HeldModel& held : server.models) count += held.adapters.size();
+  for (const LoadedModel& held : server.models) count += held.adapters.size();
   return count;
 }
 
@@ -126,7 +126,7 @@
 void PlacementPlanner::CountCopies() {
   for (const PlannedServer& server : servers_) {
     if (!server.serving) continue;
-    for (const HeldModel& held : server.models) ++copies_[held.name];
+    for (const LoadedModel& held : server.models) ++copies_[held.name];
     for (const std::string* expected : {&server.incoming, &server.intended})
       if (!expected->empty() && server.Find(*expected) == nullptr) {
         ++copies_[*expected];
@@ -203,12 +203,12 @@
     placement.cost += load_s * std::min(kBlockedServerCost,
                                         kBlockedFleetCost / static_cast<double>(servers_.size()));
   double free = FreeMegabytes(server);
-  std::vector<const HeldModel*> held;
-  for (const HeldModel& candidate : server.models) held.push_back(&candidate);
-  std::sort(held.begin(), held.end(), [&](const HeldModel* left, const HeldModel* right) {
+  std::vector<const LoadedModel*> held;
+  for (const LoadedModel& candidate : server.models) held.push_back(&candidate);
+  std::sort(held.begin(), held.end(), [&](const LoadedModel* left, const LoadedModel* right) {
     return LossOf(left->name) < LossOf(right->name);
   });
-  for (const HeldModel* candidate : held) {
+  for (const LoadedModel* candidate : held) {
     if (free >= model.weights_mb) break;
     free += HeldMegabytes(*candidate);
     placement.cost += LossOf(candidate->name) * kHorizonS + kEvictionCost;
@@ -240,7 +240,7 @@
   losses_.erase(model);
   server.intended = intended;
   server.orderable = false;
-  std::erase_if(server.models, [&](const HeldModel& held) { return held.name == model; });
+  std::erase_if(server.models, [&](const LoadedModel& held) { return held.name == model; });
 }
 
 /// Room is being made there for a model: the next step towards it.
@@ -320,7 +320,7 @@
   PlannedServer* best = nullptr;
   std::size_t holders = 0;
   for (PlannedServer& server : servers_) {
-    const HeldModel* held = server.Find(name.model);
+    const LoadedModel* held = server.Find(name.model);
     if (held == nullptr || !server.serving) continue;
     if (held->HasAdapter(name.adapter)) {
       ++holders;
@@ -341,7 +341,7 @@
   }
   ModelReference victim;
   double least = RateOf(name);
-  for (const HeldModel& held : best->models)
+  for (const LoadedModel& held : best->models)
     for (const std::string& adapter : held.adapters)
       if (const double rate = RateOf({held.name, adapter}); rate < least) {
         least = rate;
--- a/src/fleet/placement_planner.h
+++ b/src/fleet/placement_planner.h
@@ -20,14 +20,14 @@
   std::string id;
   bool orderable = false;  ///< Takes orders now: alive, not leaving, no order under way.
   bool serving = false;    ///< Alive and not leaving.
-  std::vector<HeldModel> models;
+  std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
   std::string incoming;  ///< Model that was ordered and is not there yet.
   std::string intended;  ///< Model for which room is being made.
 
-  const HeldModel* Find(const std::string& model) const {
-    for (const HeldModel& held : models)
+  const LoadedModel* Find(const std::string& model) const {
+    for (const LoadedModel& held : models)
       if (held.name == model) return &held;
     return nullptr;
   }
@@ -96,7 +96,7 @@
   bool FromWeightStore(const PlannedServer& server, const std::string& model) const;
   double FreeMegabytes(const PlannedServer& server) const;
   std::size_t AdaptersOn(const PlannedServer& server) const;
-  double HeldMegabytes(const HeldModel& held) const;
+  double HeldMegabytes(const LoadedModel& held) const;
   std::size_t Copies(const std::string& model) const;
   bool OnItsWay(const std::string& model) const { return on_their_way_.contains(model); }
   ModelDemand WholeDemand(const std::string& model) const;
--- a/src/fleet/server_record.h
+++ b/src/fleet/server_record.h
@@ -9,7 +9,7 @@
 namespace moorfold {
 
 /// A model on a server, with the adapters that stand beside it.
-struct HeldModel {
+struct LoadedModel {
   std::string name;
   std::vector<std::string> adapters;
 
@@ -18,7 +18,7 @@
       if (held == adapter) return true;
     return false;
   }
-  bool operator==(const HeldModel&) const = default;
+  bool operator==(const LoadedModel&) const = default;
 };
 
 /// What a server says of itself in the store. A server that starts again may do so under the id
@@ -31,7 +31,7 @@
   std::string software_version;
   std::uint32_t slots = 1;
   bool draining = false;
-  std::vector<HeldModel> models;
+  std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;  ///< Models whose weights lie in host memory.
   std::vector<std::string> on_disk;    ///< Models whose weights lie on the server's disk.
   std::int64_t life = 0;  ///< When it started, in milliseconds of some clock; 0: it does not say.
@@ -39,17 +39,17 @@
 
 /// What a server answers when asked for its state; some hundred milliseconds old.
 struct ServerStatus {
-  std::vector<HeldModel> models;
+  std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
   bool busy = false;  ///< An order is under way.
   std::int64_t order_count = 0;
-  std::vector<HeldModel> incoming;  ///< Adapters on their way.
-  std::int64_t life = 0;            ///< As in its record.
+  std::vector<LoadedModel> incoming;  ///< Adapters on their way.
+  std::int64_t life = 0;              ///< As in its record.
 };
 
 /// @return whether `life` began after `before`; a life that is not told is no other.
-constexpr bool IsLaterLife(std::int64_t life, std::int64_t before) {
+constexpr bool IsLaterIncarnation(std::int64_t life, std::int64_t before) {
   return life != 0 && before != 0 && life > before;
 }
 
@@ -68,12 +68,12 @@
 
 /// How a server answered an order.
 enum class ServerOrderOutcome : std::uint8_t {
-  kUnderWay,
+  kInProgress,
   kAlreadyDone,
-  kConflict,     ///< Another is under way, or the order count does not match.
-  kOtherServer,  ///< Another incarnation has the address.
-  kRejected,     ///< No such order.
-  kNoAnswer      ///< It may have been taken, and may be carried out later.
+  kConflict,          ///< Another is under way, or the order count does not match.
+  kOtherIncarnation,  ///< Another incarnation has the address.
+  kRejected,          ///< No such order.
+  kNoAnswer           ///< It may have been taken, and may be carried out later.
 };
 
 }  // namespace moorfold
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -463,7 +463,7 @@
   election_.Resign([this, led] {
     resigned_ = true;
     const std::optional<std::string> successor =
-        members_.Successor(BootClock::now(), relays_.plan().needed());
+        members_.ChooseSuccessor(BootClock::now(), relays_.plan().needed());
     if (led && successor) channel_.SendTo(*successor, LeadershipOffer{settings_.name});
   });
 }
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -46,7 +46,7 @@
 
 void Gateway::TakeNotice(const PlacementNotice& notice) {
   const ServerPtr server = view_.servers.Find(notice.server_id);
-  if (!server || IsLaterLife(server->record().life, notice.life)) return;
+  if (!server || IsLaterIncarnation(server->record().life, notice.life)) return;
   const auto now = BootClock::now();
   if (notice.expected_ms > 0) {
     view_.expected.Note(notice.name, {now, now + milliseconds(notice.expected_ms)});
@@ -175,7 +175,7 @@
     answer.asked_at_us = question.asked_at_us;
     answer.leads = false;
   }
-  answer.peers = members_.Some(kPeersTold);
+  answer.peers = members_.NextAddresses(kPeersTold);
   answer.quarantine_digest = quarantine_.book().Digest();
   ++metrics_.relay_answers_sent;
   channel_.SendTo(report.address, answer);
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -15,7 +15,7 @@
 
 bool Names(const ServerRecord& record, const std::string& model) {
   return std::any_of(record.models.begin(), record.models.end(),
-                     [&](const HeldModel& held) { return held.name == model; });
+                     [&](const LoadedModel& held) { return held.name == model; });
 }
 
 }  // namespace
@@ -70,7 +70,7 @@
 }
 
 bool Server::InRecord(const ModelReference& model) const {
-  for (const HeldModel& held : record_.models)
+  for (const LoadedModel& held : record_.models)
     if (held.name == model.model) return model.adapter.empty() || held.HasAdapter(model.adapter);
   return false;
 }
@@ -158,20 +158,20 @@
   if (found != by_id_.end()) {
     const ServerPtr known = found->second;
     const ServerRecord& before = known->record();
-    if (IsLaterLife(before.life, record.life)) return false;
-    if (before.service == record.service && !IsLaterLife(record.life, before.life)) {
+    if (IsLaterIncarnation(before.life, record.life)) return false;
+    if (before.service == record.service && !IsLaterIncarnation(record.life, before.life)) {
       Reindex(known, record);
       known->Update(std::move(record), now);
       return true;
     }
-    if (!IsLaterLife(record.life, before.life)) said = known->standing();
+    if (!IsLaterIncarnation(record.life, before.life)) said = known->standing();
     Remove(before.id);
   }
   auto server = std::make_shared<Server>(std::move(record));
   server->Restore(said);
   by_id_[server->record().id] = server;
   by_service_[server->record().service].servers.push_back(server);
-  for (const HeldModel& held : server->record().models) Index(server, held.name);
+  for (const LoadedModel& held : server->record().models) Index(server, held.name);
   return true;
 }
 
@@ -189,9 +189,9 @@
 void ServerDirectory::Reindex(const ServerPtr& server, const ServerRecord& next) {
   const ServerRecord& before = server->record();
   Service& service = by_service_[before.service];
-  for (const HeldModel& held : before.models)
+  for (const LoadedModel& held : before.models)
     if (!Names(next, held.name)) std::erase(service.by_model[held.name], server);
-  for (const HeldModel& held : next.models)
+  for (const LoadedModel& held : next.models)
     if (!Names(before, held.name)) Index(server, held.name);
 }
 
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -34,7 +34,7 @@
   doubted_.erase(record.id);
   KeepLeaving(record, revision);
   const ServerPtr known = view_.servers.Find(record.id);
-  const bool restarted = known != nullptr && IsLaterLife(record.life, known->record().life);
+  const bool restarted = known != nullptr && IsLaterIncarnation(record.life, known->record().life);
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
   const bool back = removals_.erase(record.id) > 0;
@@ -51,7 +51,7 @@
 
 bool ServerEntries::IsEarlierLife(const ServerRecord& record, StoreRevision revision) {
   const ServerPtr known = view_.servers.Find(record.id);
-  if (known == nullptr || !IsLaterLife(known->record().life, record.life)) return false;
+  if (known == nullptr || !IsLaterIncarnation(known->record().life, record.life)) return false;
   ++metrics_.earlier_lives;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kEarlierLife)
                                      .Field(LogField::kServer, record.id)
@@ -63,7 +63,8 @@
 
 const ServerEntries::Departed* ServerEntries::FindDeparted(const ServerRecord& record) const {
   const auto found = departed_.find(record.id);
-  if (found == departed_.end() || IsLaterLife(record.life, found->second.life)) return nullptr;
+  if (found == departed_.end() || IsLaterIncarnation(record.life, found->second.life))
+    return nullptr;
   const bool kept = BootClock::now() - found->second.at < kDepartedKept;
   return kept ? &found->second : nullptr;
 }
@@ -81,8 +82,8 @@
   const ServerPtr known = view_.servers.Find(record.id);
   const Departed* departed = known == nullptr ? FindDeparted(record) : nullptr;
   const bool left_before = departed != nullptr && departed->leaving;
-  const bool leaves =
-      known != nullptr && known->SaysItLeaves() && !IsLaterLife(record.life, known->record().life);
+  const bool leaves = known != nullptr && known->SaysItLeaves() &&
+                      !IsLaterIncarnation(record.life, known->record().life);
   if (!leaves && !left_before) return;
   record.draining = true;
   ++metrics_.leaving_kept;
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -176,7 +176,7 @@
   }
   ServerRecord record = change.record;
   const ServerPtr known = view_.servers.Find(record.id);
-  if (known != nullptr && !IsLaterLife(record.life, known->record().life)) {
+  if (known != nullptr && !IsLaterIncarnation(record.life, known->record().life)) {
     record.in_memory = known->record().in_memory;
     record.on_disk = known->record().on_disk;
   }
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -12,7 +12,7 @@
   std::size_t bytes = kFixedBytes + text(record.id) + text(record.service) +
                       text(record.endpoint.address) + text(record.zone) +
                       text(record.software_version) + kLengthBytes;
-  for (const HeldModel& held : record.models) {
+  for (const LoadedModel& held : record.models) {
     bytes += text(held.name) + kLengthBytes;
     for (const std::string& adapter : held.adapters) bytes += text(adapter);
   }
--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -138,7 +138,7 @@
 };
 
 template <typename Archive>
-void serialize(Archive& archive, HeldModel& held) {
+void serialize(Archive& archive, LoadedModel& held) {
   archive(held.name, held.adapters);
 }
 
--- a/test/emulator/emulated_platform.cc
+++ b/test/emulator/emulated_platform.cc
@@ -65,7 +65,7 @@
     store_proxies_.back()->Start();
   }
   for (int server = 0; server < options_.model_servers; ++server) {
-    std::vector<HeldModel> held;
+    std::vector<LoadedModel> held;
     if (server < options_.models) held.push_back({models_[static_cast<std::size_t>(server)], {}});
     AddServer(true, held);
   }
@@ -74,7 +74,7 @@
 }
 
 std::unique_ptr<ServerEmulator> EmulatedPlatform::MakeServer(bool engine,
-                                                             std::vector<HeldModel> models,
+                                                             std::vector<LoadedModel> models,
                                                              const std::string& id) {
   ServerOptions options;
   options.id = id.empty() ? "i-" + std::to_string(next_server_++) : id;
@@ -98,7 +98,7 @@
                                           options_.seed + static_cast<std::uint64_t>(next_server_));
 }
 
-void EmulatedPlatform::AddServer(bool engine, std::vector<HeldModel> models) {
+void EmulatedPlatform::AddServer(bool engine, std::vector<LoadedModel> models) {
   servers_.push_back(MakeServer(engine, std::move(models)));
   server_proxies_.push_back(std::make_unique<FaultProxy>(context_, servers_.back()->endpoint()));
   server_proxies_.back()->Start();
--- a/test/emulator/emulated_platform.h
+++ b/test/emulator/emulated_platform.h
@@ -75,10 +75,10 @@
   Awaitable<std::size_t> ReleaseServer(std::size_t number, std::chrono::milliseconds serves_on);
 
  private:
-  void AddServer(bool engine, std::vector<HeldModel> models);
+  void AddServer(bool engine, std::vector<LoadedModel> models);
   /// Makes a server of the next id, for callers behind `proxy`.
   /// @param id of a life before; empty: a new one.
-  std::unique_ptr<ServerEmulator> MakeServer(bool engine, std::vector<HeldModel> models,
+  std::unique_ptr<ServerEmulator> MakeServer(bool engine, std::vector<LoadedModel> models,
                                              const std::string& id = "");
   void Serve(std::size_t number);
   /// A server whose process has ended comes back at its address under a new id or the one that it
--- a/test/emulator/server_emulator.cc
+++ b/test/emulator/server_emulator.cc
@@ -39,7 +39,7 @@
       server_(
           {&context}, {"127.0.0.1", 0}, {},
           [this](HttpServerExchange& exchange) { return Handle(exchange); }, Refuse) {
-  for (const HeldModel& held : options_.models) had_.insert(held.name);
+  for (const LoadedModel& held : options_.models) had_.insert(held.name);
 }
 
 void ServerEmulator::Start() {
@@ -50,7 +50,7 @@
 
 json::array ServerEmulator::ModelsJson() const {
   json::array models;
-  for (const HeldModel& held : options_.models)
+  for (const LoadedModel& held : options_.models)
     models.push_back({{"name", held.name},
                       {"version", 1},
                       {"adapters", json::array(held.adapters.begin(), held.adapters.end())}});
@@ -120,7 +120,7 @@
 bool ServerEmulator::Holds(const std::string& name) const {
   const std::string model = name.substr(0, name.find('/'));
   const std::string adapter = model.size() == name.size() ? "" : name.substr(model.size() + 1);
-  for (const HeldModel& held : options_.models)
+  for (const LoadedModel& held : options_.models)
     if (held.name == model) return adapter.empty() || held.HasAdapter(adapter);
   return false;
 }
@@ -285,7 +285,7 @@
   if (!load) return 202;
   double used = order.adapter.empty() ? options_.model_mb : options_.adapter_mb;
   std::size_t adapters = order.adapter.empty() ? 0 : 1;
-  for (const HeldModel& held : options_.models) {
+  for (const LoadedModel& held : options_.models) {
     used += options_.model_mb + options_.adapter_mb * static_cast<double>(held.adapters.size());
     adapters += held.adapters.size();
   }
@@ -338,10 +338,10 @@
       had_.insert(order.model);
     } else {
       std::erase_if(options_.models,
-                    [&](const HeldModel& held) { return held.name == order.model; });
+                    [&](const LoadedModel& held) { return held.name == order.model; });
     }
   }
-  for (HeldModel& held : options_.models) {
+  for (LoadedModel& held : options_.models) {
     if (order.adapter.empty() || held.name != order.model) continue;
     if (load)
       held.adapters.push_back(order.adapter);
--- a/test/emulator/server_emulator.h
+++ b/test/emulator/server_emulator.h
@@ -25,7 +25,7 @@
   std::string zone = "z";
   std::uint32_t slots = 6;
   bool engine = false;
-  std::vector<HeldModel> models;
+  std::vector<LoadedModel> models;
   double weights_mb = 200;
   double model_mb = 90;
   double adapter_mb = 5;
--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -144,7 +144,7 @@
   const ServerRecord& record = answers[0].servers[0].record;
   CHECK(record.draining);
   CHECK(record.endpoint.port == 8);
-  CHECK(record.models == std::vector<HeldModel>{{"m", {"a"}}});
+  CHECK(record.models == std::vector<LoadedModel>{{"m", {"a"}}});
   CHECK(answers[0].servers[1].gone);
   CHECK(answers[0].servers[1].record.id == "i-2");
 }
--- a/test/fleet/leadership_over_eras_test.cc
+++ b/test/fleet/leadership_over_eras_test.cc
@@ -34,9 +34,9 @@
   CHECK(FencingToken({0, 244}) == 244);  // As builds that know no eras make them.
   CHECK(FencingToken({1, 1}) > FencingToken({0, 1'000'000'000}));
   CHECK(FencingToken({2, 2}) > FencingToken({2, 1}));
-  CHECK(FencingToken({3, 1}) > FencingToken({2, kTokensOfAnEra * 5}));
-  CHECK(FencingToken({1LL << 40, 5}) <= kGreatestToken);
-  CHECK(static_cast<std::int64_t>(static_cast<double>(kGreatestToken)) == kGreatestToken);
+  CHECK(FencingToken({3, 1}) > FencingToken({2, kTokensPerEra * 5}));
+  CHECK(FencingToken({1LL << 40, 5}) <= kMaxFencingToken);
+  CHECK(static_cast<std::int64_t>(static_cast<double>(kMaxFencingToken)) == kMaxFencingToken);
 }
 
 TEST_CASE("A leader stops at the first sign of a later era, whatever its lease says") {
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -86,14 +86,14 @@
 
 TEST_CASE("Leadership is offered to the daemon that was restarted last, if it is well") {
   FleetMembers members;
-  CHECK_FALSE(members.Successor(kStart, false).has_value());
+  CHECK_FALSE(members.ChooseSuccessor(kStart, false).has_value());
   members.Note(Report("old", 90'000), kStart);
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("old:1"));
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("old:1"));
   members.Note(Report("new", 2'000), kStart);
   members.Note(Report("starting", 100), kStart);
   members.Note(Report("leaving", 1'000, true), kStart);
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("new:1"));
-  CHECK_FALSE(members.Successor(kStart + milliseconds(2'000), false).has_value());
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("new:1"));
+  CHECK_FALSE(members.ChooseSuccessor(kStart + milliseconds(2'000), false).has_value());
 }
 
 TEST_CASE(
@@ -111,8 +111,8 @@
   weak.strength = 0.12;
   members.Note(weak, kStart);
   members.Note(strong, kStart);
-  CHECK(members.Successor(kStart, true) == std::optional<std::string>("strong:1"));
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("weak:1"));
+  CHECK(members.ChooseSuccessor(kStart, true) == std::optional<std::string>("strong:1"));
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("weak:1"));
 }
 
 }  // namespace
--- a/test/fleet/placement_test.cc
+++ b/test/fleet/placement_test.cc
@@ -204,7 +204,7 @@
       double used = step.name.adapter.empty() ? 90 : 5;
       std::size_t adapters = step.name.adapter.empty() ? 0 : 1;
       bool incoming_held = server.incoming.empty();
-      for (const HeldModel& held : server.models) {
+      for (const LoadedModel& held : server.models) {
         used += 90 + 5.0 * static_cast<double>(held.adapters.size());
         adapters += held.adapters.size();
         incoming_held = incoming_held || held.name == server.incoming;
@@ -318,7 +318,7 @@
     server.orderable = *rc::gen::inRange(0, 4) > 0;
     for (const std::string& model : models)
       if (*rc::gen::inRange(0, 3) == 0 && server.models.size() < 2) {
-        HeldModel held{model, {}};
+        LoadedModel held{model, {}};
         if (*rc::gen::inRange(0, 2) == 0) held.adapters.push_back("x1");
         server.models.push_back(held);
       }
--- a/test/gateway/pipeline_fixture.h
+++ b/test/gateway/pipeline_fixture.h
@@ -96,7 +96,7 @@
     });
   }
   void AddServer(const std::string& id, const Endpoint& endpoint,
-                 std::vector<HeldModel> models = {}) {
+                 std::vector<LoadedModel> models = {}) {
     ServerRecord record;
     record.id = id;
     record.service = "s";
--- a/test/platform/gateway_end_to_end_test.cc
+++ b/test/platform/gateway_end_to_end_test.cc
@@ -17,7 +17,7 @@
   CHECK(deployment.Send(0, deployment.Stream("three", cold + "/a1")).status == 200);
   int holders = 0;
   for (const auto& server : deployment.platform.servers())
-    for (const HeldModel& held : server->options().models) holders += held.name == cold ? 1 : 0;
+    for (const LoadedModel& held : server->options().models) holders += held.name == cold ? 1 : 0;
   CHECK(holders == 1);
   CHECK(deployment.platform.checker().violations().empty());
 }
--- a/test/platform/protocol_test.cc
+++ b/test/platform/protocol_test.cc
@@ -95,10 +95,10 @@
   for (const char* part : {R"("operation":"unload")", R"("model":"m")", R"("adapter":"a3")",
                            R"("prevRevision":2)", R"("holder":"node-7")", R"("fencingToken":41)"})
     CHECK(request.body.find(part) != std::string::npos);
-  CHECK(kProtocol.ReadOrderAnswer(202) == ServerOrderOutcome::kUnderWay);
+  CHECK(kProtocol.ReadOrderAnswer(202) == ServerOrderOutcome::kInProgress);
   CHECK(kProtocol.ReadOrderAnswer(200) == ServerOrderOutcome::kAlreadyDone);
   CHECK(kProtocol.ReadOrderAnswer(409) == ServerOrderOutcome::kConflict);
-  CHECK(kProtocol.ReadOrderAnswer(421) == ServerOrderOutcome::kOtherServer);
+  CHECK(kProtocol.ReadOrderAnswer(421) == ServerOrderOutcome::kOtherIncarnation);
   CHECK(kProtocol.ReadOrderAnswer(400) == ServerOrderOutcome::kRejected);
 }
 
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -18,7 +18,7 @@
   fixture.follower.store.unreachable = true;  // It needs nothing from there.
   fixture.Exchange();
   REQUIRE(fixture.follower.Record("i-2") != nullptr);
-  CHECK(fixture.follower.Record("i-2")->models == std::vector<HeldModel>{{"m", {"a1"}}});
+  CHECK(fixture.follower.Record("i-2")->models == std::vector<LoadedModel>{{"m", {"a1"}}});
   CHECK(fixture.follower.Record("i-2")->endpoint.port == 1);
   CHECK(fixture.follower.Record("i-1")->draining);
   fixture.Remove("servers/i-2");
