--- a/src/fleet/fencing_token.h
+++ b/src/fleet/fencing_token.h
@@ -19,10 +19,10 @@
 /// fences sees rising numbers and no more.
 /// @return at most kMaxFencingToken, which two million returns reach.
 constexpr std::int64_t FencingToken(const StoreRevision& claimed_at) {
-  const std::int64_t returns = std::max<std::int64_t>(0, claimed_at.era - kEraWithoutReturn);
+  const std::int64_t restore_count = std::max<std::int64_t>(0, claimed_at.era - kEraWithoutReturn);
   const std::int64_t number = std::min(claimed_at.number, kTokensPerEra - 1);
-  constexpr std::int64_t kMostReturns = kMaxFencingToken / kTokensPerEra;
-  return std::min(returns, kMostReturns) * kTokensPerEra + number;
+  constexpr std::int64_t kMaxRestoreCount = kMaxFencingToken / kTokensPerEra;
+  return std::min(restore_count, kMaxRestoreCount) * kTokensPerEra + number;
 }
 
 }  // namespace moorfold
--- a/src/fleet/fleet_members.cc
+++ b/src/fleet/fleet_members.cc
@@ -9,10 +9,10 @@
 using std::chrono::milliseconds;
 
 /// Reports come twice a second; a daemon that missed three may be gone.
-constexpr milliseconds kHeardLately{1'600};
-constexpr milliseconds kForgetEvery{500};
+constexpr milliseconds kReportExpiry{1'600};
+constexpr milliseconds kCleanupInterval{500};
 /// Before that, a daemon may not know the servers yet.
-constexpr milliseconds kSettlingIn{300};
+constexpr milliseconds kMinSuccessorUptime{300};
 
 }  // namespace
 
@@ -21,36 +21,38 @@
                              report.strength, report.stopping,
                              report.format,   now};
   // Not with each report, or the work would grow with the square of the daemons.
-  if (now < forget_next_) return;
-  forget_next_ = now + kForgetEvery;
-  std::erase_if(members_,
-                [&](const auto& member) { return now - member.second.seen > kHeardLately; });
+  if (now < next_cleanup_at_) return;
+  next_cleanup_at_ = now + kCleanupInterval;
+  std::erase_if(members_, [&](const auto& member) {
+    return now - member.second.last_report_at > kReportExpiry;
+  });
 }
 
-bool FleetMembers::BetterSuccessor(const Member& left, const Member& right, bool strongest) {
+bool FleetMembers::IsBetterSuccessor(const Member& left, const Member& right,
+                                     bool prefer_stronger) {
   if (left.format != right.format) return left.format > right.format;
-  if (strongest && left.strength != right.strength) return left.strength > right.strength;
+  if (prefer_stronger && left.strength != right.strength) return left.strength > right.strength;
   return left.uptime < right.uptime;
 }
 
-std::optional<std::string> FleetMembers::ChooseSuccessor(Time now, bool strongest) const {
+std::optional<std::string> FleetMembers::ChooseSuccessor(Time now, bool prefer_stronger) const {
   const Member* best = nullptr;
   for (const auto& [name, member] : members_) {
-    if (member.stopping || now - member.seen > kHeardLately) continue;
-    if (member.uptime < kSettlingIn) continue;
-    if (best == nullptr || BetterSuccessor(member, *best, strongest)) best = &member;
+    if (member.stopping || now - member.last_report_at > kReportExpiry) continue;
+    if (member.uptime < kMinSuccessorUptime) continue;
+    if (best == nullptr || IsBetterSuccessor(member, *best, prefer_stronger)) best = &member;
   }
   if (best == nullptr) return std::nullopt;
   return best->address;
 }
 
-std::vector<std::string> FleetMembers::NextAddresses(std::size_t most) {
+std::vector<std::string> FleetMembers::NextAddresses(std::size_t max_count) {
   std::vector<std::string> addresses;
-  auto next = members_.upper_bound(told_last_);
-  while (addresses.size() < std::min(most, members_.size())) {
+  auto next = members_.upper_bound(last_returned_name_);
+  while (addresses.size() < std::min(max_count, members_.size())) {
     if (next == members_.end()) next = members_.begin();
     addresses.push_back(next->second.address);
-    told_last_ = next->first;
+    last_returned_name_ = next->first;
     ++next;
   }
   return addresses;
--- a/src/fleet/fleet_members.h
+++ b/src/fleet/fleet_members.h
@@ -24,9 +24,9 @@
   /// @param strongest whether strong machines come before younger daemons: in a fleet whose changes
   /// a weak machine's link does not bring, a weak leader costs more than another change of leaders.
   /// @return its "IP:PORT" for datagrams, or nothing when no daemon may be offered it.
-  std::optional<std::string> ChooseSuccessor(Time now, bool strongest) const;
+  std::optional<std::string> ChooseSuccessor(Time now, bool prefer_stronger) const;
   /// @return addresses of up to `most` daemons, going round with each call.
-  std::vector<std::string> NextAddresses(std::size_t most);
+  std::vector<std::string> NextAddresses(std::size_t max_count);
 
  private:
   struct Member {
@@ -35,13 +35,13 @@
     double strength = 0;                  ///< Of its machine: share of a core.
     bool stopping = false;
     std::uint16_t format = 0;  ///< In which its build writes.
-    Time seen{};
+    Time last_report_at{};
   };
-  static bool BetterSuccessor(const Member& left, const Member& right, bool strongest);
+  static bool IsBetterSuccessor(const Member& left, const Member& right, bool prefer_stronger);
 
   std::map<std::string, Member> members_;  ///< By name; some longer than they count.
-  Time forget_next_{};
-  std::string told_last_;  ///< Name of the last that NextAddresses returned.
+  Time next_cleanup_at_{};
+  std::string last_returned_name_;  ///< Name of the last that NextAddresses returned.
 };
 
 }  // namespace moorfold
--- a/src/fleet/leader_election.h
+++ b/src/fleet/leader_election.h
@@ -37,7 +37,7 @@
   void Lose() { leading_ = false; }
 
   bool leading() const { return leading_; }
-  bool Settled(Time now) const { return leading_ && now >= order_from_; }
+  bool InitialWaitOver(Time now) const { return leading_ && now >= order_from_; }
   Time order_from() const { return order_from_; }
   /// Half of the lease is left for orders that are under way when it cannot be renewed.
   bool MayOrder(Time now) const {
@@ -46,9 +46,10 @@
   /// Whether leadership that is won anew at `now` follows on this machine's own without a gap: any
   /// other would first have had to win after this lease lapsed, and then to wait `handover`.
   bool ContinuesOwnTerm(Time now, std::chrono::milliseconds handover) const {
-    constexpr std::chrono::milliseconds kMargin{200};
-    const bool led = renewal_sent_ != Time{};
-    return led && !succeeded_by_other_ && now < renewal_sent_ + time_to_live_ + handover - kMargin;
+    constexpr std::chrono::milliseconds kSafetyMargin{200};
+    const bool has_led = renewal_sent_ != Time{};
+    return has_led && !succeeded_by_other_ &&
+           now < renewal_sent_ + time_to_live_ + handover - kSafetyMargin;
   }
   /// Whether the lease may have lapsed.
   bool Lapsed(Time now) const { return now >= renewal_sent_ + time_to_live_; }
@@ -68,17 +69,17 @@
  public:
   using Time = BootClock::time_point;
 
-  /// @param orders_end_after after the return: half of a lease and the longest order, and how far
-  /// apart orders of two machines must lie.
-  explicit StoreRestoreWait(std::chrono::milliseconds orders_end_after)
-      : orders_end_after_(orders_end_after) {}
+  /// @param orders_end_after_restore after the return: half of a lease and the longest order, and
+  /// how far apart orders of two machines must lie.
+  explicit StoreRestoreWait(std::chrono::milliseconds orders_end_after_restore)
+      : orders_end_after_restore_(orders_end_after_restore) {}
 
   /// The store is in that era now. The first era that a process sees may just have begun, too,
   /// unless no copy can have begun it.
   void NoteEra(std::int64_t era, Time now) {
     if (era_ && era <= *era_) return;
     era_ = era;
-    if (era != kEraWithoutReturn) quiet_until_ = now + orders_end_after_;
+    if (era != kEraWithoutReturn) quiet_until_ = now + orders_end_after_restore_;
   }
   /// A leader's record that tells of this era is of a leader that has waited itself, or hands on
   /// what is left to wait.
@@ -89,7 +90,7 @@
   Time quiet_until() const { return quiet_until_; }
 
  private:
-  std::chrono::milliseconds orders_end_after_;
+  std::chrono::milliseconds orders_end_after_restore_;
   std::optional<std::int64_t> era_;
   Time quiet_until_{};
 };
@@ -99,7 +100,7 @@
   std::optional<LeaderRecord> record;  ///< Nothing: the key does not exist.
   StoreRevision revision;              ///< Of the record; without one, number 0 of that era.
   /// The key holds something that is no record and hangs on no lease: it goes by nobody's end.
-  bool abandoned = false;
+  bool orphaned = false;
 };
 
 /// A claim to the leader key, on the state of the key on which it was decided. The lease for it is
@@ -111,7 +112,7 @@
   /// it, or nothing when the key is another machine's.
   static std::optional<StoreRevision> Condition(const LeaderKeyState& key,
                                                 const std::string& machine) {
-    if (!key.record) return key.abandoned ? key.revision : StoreRevision{key.revision.era, 0};
+    if (!key.record) return key.orphaned ? key.revision : StoreRevision{key.revision.era, 0};
     const bool claimable = key.record->released || key.record->name == machine;
     return claimable ? std::optional(key.revision) : std::nullopt;
   }
@@ -134,7 +135,7 @@
   std::string key;      ///< Of the leader record.
   std::chrono::milliseconds time_to_live{3'000};
   /// How long orders of different machines must lie apart.
-  std::chrono::milliseconds orders_apart{3'000};
+  std::chrono::milliseconds order_separation{3'000};
   std::chrono::milliseconds load_window{5'000};
   /// How long this machine leaves the office to others: the weaker it is, the longer.
   std::chrono::milliseconds candidacy_delay{0};
@@ -156,13 +157,13 @@
   /// The leader has been heard from, by another way than the store.
   /// @param daemons in the fleet, as the leader says: in a large one each looks for the next leader
   /// more seldom.
-  void NoteLeaderHeard(std::uint32_t daemons) {
-    leader_heard_ = BootClock::now();
-    daemons_ = daemons;
+  void NoteLeaderHeard(std::uint32_t daemon_count) {
+    leader_heard_at_ = BootClock::now();
+    daemon_count_ = daemon_count;
   }
   /// Reads the leader key now: another daemon has said that it leads no more.
   /// @param first whether to stand for leader at once.
-  void ReadLeaderKeyNow(bool first);
+  void ReadLeaderKeyNow(bool stand_for_leader);
   /// Takes part no more; a lead is kept until Resign.
   void StopOrdering() { resigned_ = true; }
   /// Gives leadership up, and leaves to the next leader what was ordered. Orders must have ended.
@@ -178,8 +179,8 @@
   void NoteOrder(const std::string& server_id) { history_.NoteOrder(server_id, BootClock::now()); }
   LoadRateLimiter& loads() { return history_.loads(); }
   /// @return whether the loads of the leader before are known and counted.
-  bool load_history_known() const { return knows_loads_; }
-  std::int64_t fencing_token() const { return token_; }
+  bool load_history_known() const { return load_history_known_; }
+  std::int64_t fencing_token() const { return fencing_token_; }
   /// @return the leader's record as far as known.
   const std::optional<LeaderRecord>& leader() const { return leader_; }
 
@@ -188,38 +189,38 @@
 
   void Tick();
   /// Claims the key, or first reads it again where it was seen too long ago.
-  void Stand(StoreRevision condition);
+  void StandForElection(StoreRevision condition);
   void Campaign(StoreRevision condition);
   /// @return whether the store has begun an era since the lease was granted: then it may be gone,
   /// whatever renewals say, and its number another's.
-  bool LeaseOutlived() const { return store_.era() > lease_.era; }
+  bool LeaseEraEnded() const { return store_.era() > lease_.era; }
   void Claim(const LeadershipClaim& claim, LeaseId lease, Time grant_sent);
-  LeaderKeyState Sight() const {
-    const bool exists = leader_ || key_abandoned_;
-    return {leader_, exists ? leader_revision_ : StoreRevision{seen_revision_.era, 0},
-            key_abandoned_};
+  LeaderKeyState KeyState() const {
+    const bool exists = leader_ || key_orphaned_;
+    return {leader_, exists ? leader_revision_ : StoreRevision{key_state_revision_.era, 0},
+            key_orphaned_};
   }
-  void EndClaim(const LeadershipClaim& claim, LeaseId lease,
-                const Outcome<TransactionResult>& result);
-  void NoteClaim(LogEvent event, LeaseId lease, const LeadershipClaim& claim,
-                 const std::string& problem);
+  void HandleClaimResult(const LeadershipClaim& claim, LeaseId lease,
+                         const Outcome<TransactionResult>& result);
+  void LogClaim(LogEvent event, LeaseId lease, const LeadershipClaim& claim,
+                const std::string& problem);
   void Won(StoreRevision revision);
   void RenewOrLose();
   void Lose(const std::string& why);
-  void Settle();
-  void Verify();
+  void WriteSettledRecord();
+  void VerifyKeyOwnership();
   Transaction RecordTransaction(bool settled) const;
-  void Release(int tries, std::function<void()> done);
-  void ReleaseAtCurrentRevision(int tries, std::function<void()> done);
+  void Release(int attempts_left, std::function<void()> done);
+  void ReleaseAtCurrentRevision(int attempts_left, std::function<void()> done);
   void ReadKey();
   /// @return whether another leads, as far as known, but says nothing.
   bool LeaderSilent(Time now) const;
   std::chrono::milliseconds BeginTerm(Time now);
   /// @return the condition of a claim that may be tried now, if any.
-  std::optional<StoreRevision> MayCampaign() const;
+  std::optional<StoreRevision> EligibleClaimCondition() const;
   std::chrono::milliseconds Jitter() const;
-  std::chrono::milliseconds ReadPause() const;
-  std::chrono::milliseconds WaitAfterOther() const;
+  std::chrono::milliseconds ReadInterval() const;
+  std::chrono::milliseconds WaitAfterOtherLeader() const;
 
   KeyValueStore& store_;
   EventLog& log_;
@@ -230,35 +231,36 @@
   BootTimer timer_;
   std::optional<LeaderRecord> leader_;
   StoreRevision leader_revision_;
-  bool key_abandoned_ = false;   ///< As LeaderKeyState has it.
-  StoreRevision seen_revision_;  ///< Of the key's newest state, also of its absence.
-  Time leader_seen_{};           ///< When that state was first seen.
-  Time key_confirmed_{};         ///< When it was last seen.
+  bool key_orphaned_ = false;         ///< As LeaderKeyState has it.
+  StoreRevision key_state_revision_;  ///< Of the key's newest state, also of its absence.
+  Time key_state_seen_at_{};          ///< When that state was first seen.
+  Time key_confirmed_at_{};           ///< When it was last seen.
   LeaseId leader_lease_;
   LeaseId lease_;
   Time grant_sent_{};
-  std::int64_t token_ = 0;
-  StoreRevision won_at_;  ///< Of the claim that won last.
+  std::int64_t fencing_token_ = 0;
+  StoreRevision claim_revision_;  ///< Of the claim that won last.
   StoreRevision record_revision_;
   bool key_known_ = false;
-  bool campaigning_ = false;
-  bool renewing_ = false;
-  bool settling_ = false;
+  bool claim_in_progress_ = false;
+  bool renewal_in_progress_ = false;
+  bool settled_write_started_ = false;
   /// A renewal failed: whether the key is still ours has to be read before the next order.
-  bool unsure_ = false;
-  bool took_over_own_ = false;
+  bool ownership_unverified_ = false;
+  bool resuming_settled_term_ = false;
   /// The record that a claim takes over from a leader that released it.
-  std::optional<OrderHistoryRecord> taken_over_;
-  Time taken_over_seen_{};
-  bool claimed_own_ = false;  ///< The key was this machine's, from before a restart.
-  Time others_from_{};        ///< When others may order, whatever an earlier process here ordered.
-  bool knows_loads_ = false;
-  bool offered_ = false;  ///< The leader before wants this daemon to lead next.
-  bool stands_ = false;   ///< Claims the key if the read under way shows nothing new.
-  std::uint32_t daemons_ = 1;
-  bool reading_ = false;
+  std::optional<OrderHistoryRecord> inherited_history_;
+  Time inherited_history_seen_at_{};
+  bool claimed_own_unreleased_key_ = false;  ///< The key was this machine's, from before a restart.
+  Time others_may_order_from_{};  ///< When others may order, whatever an earlier process here
+                                  ///< ordered.
+  bool load_history_known_ = false;
+  bool leadership_offered_ = false;  ///< The leader before wants this daemon to lead next.
+  bool claim_after_read_ = false;    ///< Claims the key if the read under way shows nothing new.
+  std::uint32_t daemon_count_ = 1;
+  bool read_in_progress_ = false;
   Time read_not_before_{};
-  Time leader_heard_{};
+  Time leader_heard_at_{};
   bool resigned_ = false;
   Time campaign_not_before_{};
 };
--- a/src/fleet/load_concurrency_limit.h
+++ b/src/fleet/load_concurrency_limit.h
@@ -19,73 +19,77 @@
   /// @param stated how long it takes alone.
   /// @param taken how long it took, as far as seen: up to a poll's pause too long.
   /// @param together loads that were under way when it began, itself included.
-  void RecordCompletedLoad(std::chrono::milliseconds stated, std::chrono::milliseconds taken,
-                           std::size_t together, Time now) {
-    if (stated.count() <= 0 || taken.count() <= 0 || together == 0) return;
-    if (Slowed(stated, taken)) {
-      NoteSlowed(stated, taken, together, now);
+  void RecordCompletedLoad(std::chrono::milliseconds expected, std::chrono::milliseconds elapsed,
+                           std::size_t concurrent_loads, Time now) {
+    if (expected.count() <= 0 || elapsed.count() <= 0 || concurrent_loads == 0) return;
+    if (IsSlowed(expected, elapsed)) {
+      LowerLimit(expected, elapsed, concurrent_loads, now);
       return;
     }
-    Learn(stated);
-    const bool full = static_cast<double>(together) >= limit_ - 1;
-    if (full && now - slowed_at_ > kBelieved) limit_ = std::min(kMost, limit_ + 1);
+    InitializeLimit(expected);
+    const bool full = static_cast<double>(concurrent_loads) >= limit_ - 1;
+    if (full && now - last_slowdown_at_ > kRaiseHoldoff) limit_ = std::min(kMaxLimit, limit_ + 1);
   }
   /// A load is still under way: where it is late already, that shows long before its end.
-  void RecordLoadInProgress(std::chrono::milliseconds stated, std::chrono::milliseconds so_far,
-                            std::size_t together, Time now) {
-    if (stated.count() > 0 && together > 0 && Slowed(stated, so_far))
-      NoteSlowed(stated, so_far, together, now);
+  void RecordLoadInProgress(std::chrono::milliseconds expected,
+                            std::chrono::milliseconds elapsed_so_far, std::size_t concurrent_loads,
+                            Time now) {
+    if (expected.count() > 0 && concurrent_loads > 0 && IsSlowed(expected, elapsed_so_far))
+      LowerLimit(expected, elapsed_so_far, concurrent_loads, now);
   }
   /// @param stated how long the load that is to begin takes alone.
   /// @return loads that may begin beside those under way.
-  double AvailableLoads(std::size_t under_way, std::chrono::milliseconds stated) {
-    const double limit = learned_ ? limit_ : First(stated);
+  double AvailableLoads(std::size_t under_way, std::chrono::milliseconds expected) {
+    const double limit = initialized_ ? limit_ : InitialLimit(expected);
     return std::max(0.0, limit - static_cast<double>(under_way));
   }
   double limit() const { return limit_; }
 
  private:
   /// Ratio of times from which on a load counts as slowed: above the error of reports and polls.
-  static constexpr double kSlowed = 1.25;
+  static constexpr double kSlowdownThreshold = 1.25;
   /// The end of a load is seen so much later: a report tells of some hundred ms before, and is
   /// asked for each 150 ms. Without it loads of 1.3 s count as slowed that are not.
-  static constexpr std::chrono::milliseconds kSeenLate{500};
-  static constexpr double kLeast = 1;
-  static constexpr double kMost = 1'000;
+  static constexpr std::chrono::milliseconds kObservationDelay{500};
+  static constexpr double kMinLimit = 1;
+  static constexpr double kMaxLimit = 1'000;
   /// Before any load has been timed: so many at once, or fewer where each takes long. Four loads of
   /// 13 s at a store that gives one its full speed all take 53 s, and the most urgent comes no
   /// sooner than the least.
-  static constexpr double kFirst = 4;
-  static constexpr std::chrono::milliseconds kFirstTogether{12'000};  ///< Sum of their times.
+  static constexpr double kMaxInitialLimit = 4;
+  static constexpr std::chrono::milliseconds kInitialTotalLoadTime{
+      12'000};  ///< Sum of their times.
   /// How long a slowed load keeps the limit from being tried again.
-  static constexpr std::chrono::seconds kBelieved{60};
+  static constexpr std::chrono::seconds kRaiseHoldoff{60};
 
-  static bool Slowed(std::chrono::milliseconds stated, std::chrono::milliseconds taken) {
-    const auto own = taken - kSeenLate;
-    return static_cast<double>(own.count()) > kSlowed * static_cast<double>(stated.count());
+  static bool IsSlowed(std::chrono::milliseconds expected, std::chrono::milliseconds elapsed) {
+    const auto observed = elapsed - kObservationDelay;
+    return static_cast<double>(observed.count()) >
+           kSlowdownThreshold * static_cast<double>(expected.count());
   }
-  static double First(std::chrono::milliseconds stated) {
-    const auto one = std::max(std::chrono::milliseconds(1), stated);
-    const double fit =
-        static_cast<double>(kFirstTogether.count()) / static_cast<double>(one.count());
-    return std::clamp(fit, kLeast, kFirst);
+  static double InitialLimit(std::chrono::milliseconds expected) {
+    const auto one = std::max(std::chrono::milliseconds(1), expected);
+    const double fitting_loads =
+        static_cast<double>(kInitialTotalLoadTime.count()) / static_cast<double>(one.count());
+    return std::clamp(fitting_loads, kMinLimit, kMaxInitialLimit);
   }
-  void Learn(std::chrono::milliseconds stated) {
-    if (!learned_) limit_ = First(stated);
-    learned_ = true;
+  void InitializeLimit(std::chrono::milliseconds expected) {
+    if (!initialized_) limit_ = InitialLimit(expected);
+    initialized_ = true;
   }
-  void NoteSlowed(std::chrono::milliseconds stated, std::chrono::milliseconds taken,
-                  std::size_t together, Time now) {
-    Learn(stated);
+  void LowerLimit(std::chrono::milliseconds expected, std::chrono::milliseconds elapsed,
+                  std::size_t concurrent_loads, Time now) {
+    InitializeLimit(expected);
     const double slowdown =
-        static_cast<double>(taken.count()) / static_cast<double>(stated.count());
-    limit_ = std::clamp(std::min(limit_, static_cast<double>(together) / slowdown), kLeast, kMost);
-    slowed_at_ = now;
+        static_cast<double>(elapsed.count()) / static_cast<double>(expected.count());
+    limit_ = std::clamp(std::min(limit_, static_cast<double>(concurrent_loads) / slowdown),
+                        kMinLimit, kMaxLimit);
+    last_slowdown_at_ = now;
   }
 
-  double limit_ = kFirst;
-  bool learned_ = false;
-  Time slowed_at_ = Time{} - kBelieved;
+  double limit_ = kMaxInitialLimit;
+  bool initialized_ = false;
+  Time last_slowdown_at_ = Time{} - kRaiseHoldoff;
 };
 
 }  // namespace moorfold
--- a/src/fleet/order_history.cc
+++ b/src/fleet/order_history.cc
@@ -10,63 +10,67 @@
 using std::chrono::milliseconds;
 
 /// For an order that was given up and is still on its way.
-constexpr milliseconds kMargin{300};
+constexpr milliseconds kLateOrderMargin{300};
 /// An old token must not follow a new one, also from one machine.
-constexpr milliseconds kAfterOwn{400};
+constexpr milliseconds kOwnOrderWait{400};
 
 }  // namespace
 
-OrderHistory::OrderHistory(std::string holder, Milliseconds orders_apart, Milliseconds load_window)
+OrderHistory::OrderHistory(std::string holder, Milliseconds order_separation,
+                           Milliseconds load_window)
     : holder_(std::move(holder)),
-      orders_apart_(orders_apart),
+      order_separation_(order_separation),
       load_window_(load_window),
       loads_(load_window) {}
 
-void OrderHistory::Begin() {
-  ordered_.clear();
-  inherited_.clear();
+void OrderHistory::Reset() {
+  last_order_at_.clear();
+  inherited_orders_.clear();
   loads_ = LoadRateLimiter(load_window_);
 }
 
-void OrderHistory::Inherit(const OrderHistoryRecord& record, Time seen_at) {
-  Begin();
+void OrderHistory::Inherit(const OrderHistoryRecord& record, Time record_seen_at) {
+  Reset();
   for (const RecentServerOrder& server : record.servers)
-    inherited_[server.server_id].push_back({server.holder, seen_at - Milliseconds(server.age_ms)});
-  for (const std::int64_t left : record.load_remaining_ms)
-    loads_.RecordLoadUntil(seen_at + Milliseconds(left) + kMargin);
+    inherited_orders_[server.server_id].push_back(
+        {server.holder, record_seen_at - Milliseconds(server.age_ms)});
+  for (const std::int64_t remaining : record.load_remaining_ms)
+    loads_.RecordLoadUntil(record_seen_at + Milliseconds(remaining) + kLateOrderMargin);
 }
 
-OrderHistory::Time OrderHistory::FreeAfter(const Inherited& entry) const {
-  return entry.ordered_at + (entry.holder == holder_ ? kAfterOwn : orders_apart_ + kMargin);
+OrderHistory::Time OrderHistory::SafeAfter(const InheritedOrder& entry) const {
+  return entry.ordered_at +
+         (entry.holder == holder_ ? kOwnOrderWait : order_separation_ + kLateOrderMargin);
 }
 
 OrderHistory::Time OrderHistory::SafeToOrderFrom(const std::string& server_id) const {
-  Time free{};
-  const auto found = inherited_.find(server_id);
-  if (found == inherited_.end()) return free;
-  for (const Inherited& entry : found->second) free = std::max(free, FreeAfter(entry));
-  return free;
+  Time safe_from{};
+  const auto found = inherited_orders_.find(server_id);
+  if (found == inherited_orders_.end()) return safe_from;
+  for (const InheritedOrder& entry : found->second)
+    safe_from = std::max(safe_from, SafeAfter(entry));
+  return safe_from;
 }
 
-bool OrderHistory::Clear(Time now) const {
-  return std::all_of(inherited_.begin(), inherited_.end(),
+bool OrderHistory::InheritedOrdersExpired(Time now) const {
+  return std::all_of(inherited_orders_.begin(), inherited_orders_.end(),
                      [&](const auto& entry) { return now >= SafeToOrderFrom(entry.first); });
 }
 
-OrderHistoryRecord OrderHistory::Write(Time now, Time order_from) const {
+OrderHistoryRecord OrderHistory::ToRecord(Time now, Time order_from) const {
   const auto age = [&](Time at) { return duration_cast<milliseconds>(now - at).count(); };
-  const auto longest = std::max(orders_apart_ + kMargin, kAfterOwn);
+  const auto longest_wait = std::max(order_separation_ + kLateOrderMargin, kOwnOrderWait);
   OrderHistoryRecord record;
   record.quiet_ms =
       std::max<std::int64_t>(0, std::chrono::ceil<milliseconds>(order_from - now).count());
-  for (const auto& [server_id, entries] : inherited_)
-    for (const Inherited& entry : entries)
-      if (now < entry.ordered_at + longest)
+  for (const auto& [server_id, entries] : inherited_orders_)
+    for (const InheritedOrder& entry : entries)
+      if (now < entry.ordered_at + longest_wait)
         record.servers.push_back({server_id, entry.holder, age(entry.ordered_at)});
-  for (const auto& [server_id, at] : ordered_)
-    if (now < at + longest) record.servers.push_back({server_id, holder_, age(at)});
-  for (const Milliseconds left : loads_.Remaining(now))
-    record.load_remaining_ms.push_back(left.count());
+  for (const auto& [server_id, at] : last_order_at_)
+    if (now < at + longest_wait) record.servers.push_back({server_id, holder_, age(at)});
+  for (const Milliseconds remaining : loads_.Remaining(now))
+    record.load_remaining_ms.push_back(remaining.count());
   return record;
 }
 
--- a/src/fleet/order_history.h
+++ b/src/fleet/order_history.h
@@ -50,43 +50,43 @@
   using Milliseconds = std::chrono::milliseconds;
 
   /// @param holder this machine's name in orders.
-  /// @param orders_apart how long orders of two machines to one server must lie apart.
+  /// @param order_separation how long orders of two machines to one server must lie apart.
   /// @param load_window of the bound on loads from the weight store.
-  OrderHistory(std::string holder, Milliseconds orders_apart, Milliseconds load_window);
+  OrderHistory(std::string holder, Milliseconds order_separation, Milliseconds load_window);
 
   /// A term begins after a wait that covers every order before it.
-  void Begin();
+  void Reset();
   /// A term begins on what the leader before has left.
-  /// @param seen_at when this machine first saw the record; it was written no later.
-  void Inherit(const OrderHistoryRecord& record, Time seen_at);
+  /// @param record_seen_at when this machine first saw the record; it was written no later.
+  void Inherit(const OrderHistoryRecord& record, Time record_seen_at);
 
   /// An order to the server has been answered or given up.
   void NoteOrder(const std::string& server_id, Time now) {
-    Time& last = ordered_[server_id];
+    Time& last = last_order_at_[server_id];
     last = std::max(last, now);
   }
   /// @return when orders of others can no longer lie too close to one that is sent then.
   Time SafeToOrderFrom(const std::string& server_id) const;
   /// @return whether nothing that was inherited matters any more.
-  bool Clear(Time now) const;
+  bool InheritedOrdersExpired(Time now) const;
   /// @param order_from when this leader may, or might have, begun to order at all.
-  OrderHistoryRecord Write(Time now, Time order_from) const;
+  OrderHistoryRecord ToRecord(Time now, Time order_from) const;
 
   LoadRateLimiter& loads() { return loads_; }
 
  private:
-  struct Inherited {
+  struct InheritedOrder {
     std::string holder;
     Time ordered_at;
   };
-  Time FreeAfter(const Inherited& entry) const;
+  Time SafeAfter(const InheritedOrder& entry) const;
 
   std::string holder_;
-  Milliseconds orders_apart_;
+  Milliseconds order_separation_;
   Milliseconds load_window_;
   LoadRateLimiter loads_;
-  std::map<std::string, Time> ordered_;
-  std::map<std::string, std::vector<Inherited>> inherited_;
+  std::map<std::string, Time> last_order_at_;
+  std::map<std::string, std::vector<InheritedOrder>> inherited_orders_;
 };
 
 }  // namespace moorfold
--- a/src/fleet/peer_list.h
+++ b/src/fleet/peer_list.h
@@ -18,7 +18,7 @@
 
   void Note(const std::string& address, Time now) {
     peers_[address] = now;
-    if (peers_.size() <= kMost) return;
+    if (peers_.size() <= kMaxPeers) return;
     auto oldest = peers_.begin();
     for (auto peer = peers_.begin(); peer != peers_.end(); ++peer)
       if (peer->second < oldest->second) oldest = peer;
@@ -28,14 +28,14 @@
   std::vector<std::string> Addresses(Time now) const {
     std::vector<std::string> addresses;
     for (const auto& [address, heard_at] : peers_)
-      if (now - heard_at < kLife) addresses.push_back(address);
+      if (now - heard_at < kPeerLifetime) addresses.push_back(address);
     return addresses;
   }
 
  private:
   /// Several times as many as one message goes to, so that each goes to others.
-  static constexpr std::size_t kMost = 64;
-  static constexpr std::chrono::minutes kLife{5};
+  static constexpr std::size_t kMaxPeers = 64;
+  static constexpr std::chrono::minutes kPeerLifetime{5};
 
   std::map<std::string, Time> peers_;
 };
--- a/src/fleet/published_record.h
+++ b/src/fleet/published_record.h
@@ -17,9 +17,9 @@
 template <typename Content>
 class PublishedRecord {
  public:
-  /// @param not_stored the event of a write that failed.
-  PublishedRecord(KeyValueStore& store, EventLog& log, std::string key, LogEvent not_stored)
-      : store_(store), log_(log), key_(std::move(key)), not_stored_(not_stored) {}
+  /// @param write_failed_event the event of a write that failed.
+  PublishedRecord(KeyValueStore& store, EventLog& log, std::string key, LogEvent write_failed_event)
+      : store_(store), log_(log), key_(std::move(key)), write_failed_event_(write_failed_event) {}
 
   /// @return the key in the store.
   const std::string& key() const { return key_; }
@@ -30,33 +30,33 @@
     seen_era_ = std::max(seen_era_, revision.era);
     if (!later_era) return;
     // A copy: what this daemon wrote may be gone or older there.
-    written_ = {};
-    if (entry) written_ = DecodeMessage<Content>(entry->value);
+    last_written_ = {};
+    if (entry) last_written_ = DecodeMessage<Content>(entry->value);
   }
   /// Writes `wanted` where that is not what this daemon wrote last, or what a store that
   /// came back from a copy shows. @pre this daemon leads.
-  void Write(const Content& wanted) {
-    if (calling_ || wanted == written_ || BootClock::now() < not_before_) return;
+  void Write(const Content& content) {
+    if (write_in_progress_ || content == last_written_ || BootClock::now() < next_write_at_) return;
     Transaction transaction;
-    transaction.operations.emplace_back(PutOperation{key_, EncodeMessage(wanted), {}});
-    calling_ = true;
+    transaction.operations.emplace_back(PutOperation{key_, EncodeMessage(content), {}});
+    write_in_progress_ = true;
     store_.Transact(
         std::move(transaction),
-        [this, wanted](const Outcome<TransactionResult>& result) { EndWrite(wanted, result); });
+        [this, content](const Outcome<TransactionResult>& result) { EndWrite(content, result); });
   }
 
  private:
   /// Between two writes; also after one that failed.
-  static constexpr std::chrono::milliseconds kBetweenWrites{1'000};
+  static constexpr std::chrono::milliseconds kMinWriteInterval{1'000};
 
-  void EndWrite(const Content& wanted, const Outcome<TransactionResult>& result) {
-    calling_ = false;
-    not_before_ = BootClock::now() + kBetweenWrites;
+  void EndWrite(const Content& content, const Outcome<TransactionResult>& result) {
+    write_in_progress_ = false;
+    next_write_at_ = BootClock::now() + kMinWriteInterval;
     if (result.ok()) {
-      written_ = wanted;
+      last_written_ = content;
       return;
     }
-    log_.Write(LogRank::kDecision, EventLine(not_stored_)
+    log_.Write(LogRank::kDecision, EventLine(write_failed_event_)
                                        .Field(LogField::kKey, key_)
                                        .Field(LogField::kProblem, result.failure().message));
   }
@@ -64,11 +64,11 @@
   KeyValueStore& store_;
   EventLog& log_;
   std::string key_;
-  LogEvent not_stored_;
-  Content written_;
+  LogEvent write_failed_event_;
+  Content last_written_;
   std::int64_t seen_era_ = kEraUntold;  ///< Of the store when it last showed the entry.
-  bool calling_ = false;
-  BootClock::time_point not_before_{};
+  bool write_in_progress_ = false;
+  BootClock::time_point next_write_at_{};
 };
 
 }  // namespace moorfold
--- a/test/fleet/candidate.h
+++ b/test/fleet/candidate.h
@@ -47,8 +47,8 @@
 /// Runs until `done`, letting changes reach all candidates.
 inline bool RunUntil(boost::asio::io_context& context, std::vector<Candidate*> candidates,
                      const std::function<bool()>& done,
-                     std::chrono::milliseconds patience = std::chrono::milliseconds(20'000)) {
-  const auto give_up = BootClock::now() + patience;
+                     std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000)) {
+  const auto give_up = BootClock::now() + timeout;
   while (!done() && BootClock::now() < give_up) {
     for (Candidate* candidate : candidates) candidate->store.Deliver();
     context.run_one_for(std::chrono::milliseconds(10));
--- a/test/fleet/leadership_over_eras_test.cc
+++ b/test/fleet/leadership_over_eras_test.cc
@@ -12,10 +12,10 @@
 using std::chrono::milliseconds;
 
 /// Half of the candidates' lease, the longest order, the distance of orders.
-constexpr milliseconds kOrdersEndAfter{750 + 600 + 60};
+constexpr milliseconds kOrdersEndAfterRestore{750 + 600 + 60};
 
 /// What a candidate's view of the store tells it after a listing.
-void Show(Candidate& candidate, KeyValueTable& table) {
+void DeliverListing(Candidate& candidate, KeyValueTable& table) {
   const RangeResult read = table.Range({kLeaderKey, ""});
   if (read.entries.empty())
     candidate.election.KeyChanged(std::nullopt, read.revision);
@@ -89,11 +89,11 @@
   one.store.unreachable = true;  // Cut off: it leads on until half of its lease is over.
   table.RestoreFrom(empty);
   const auto back = BootClock::now();
-  Show(two, table);
+  DeliverListing(two, table);
   REQUIRE(RunUntil(context, {}, [&] { return two.election.leading(); }));
-  CHECK(BootClock::now() - back < kOrdersEndAfter);  // The key is there to be had at once.
+  CHECK(BootClock::now() - back < kOrdersEndAfterRestore);  // The key is there to be had at once.
   REQUIRE(RunUntil(context, {}, [&] { return two.election.MayOrder(); }));
-  CHECK(BootClock::now() - back >= kOrdersEndAfter);
+  CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
   CHECK_FALSE(one.election.MayOrder());
   CHECK(two.election.fencing_token() > one.election.fencing_token());
 }
@@ -116,9 +116,9 @@
   table.RestoreFrom(copy);
   const auto back = BootClock::now();
   Candidate again(context, table, "one");  // "one" has started again, and sees its own record.
-  Show(again, table);
+  DeliverListing(again, table);
   REQUIRE(RunUntil(context, {}, [&] { return again.election.MayOrder(); }));
-  CHECK(BootClock::now() - back >= kOrdersEndAfter);
+  CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
   CHECK_FALSE(again.election.load_history_known());
 }
 
@@ -129,15 +129,15 @@
   Candidate one(context, table, "one");
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   Candidate two(context, table, "two");  // Sees the era for the first time now.
-  Show(two, table);
+  DeliverListing(two, table);
   const auto began = BootClock::now();
   bool resigned = false;
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one}, [&] { return resigned; }));
-  Show(two, table);
+  DeliverListing(two, table);
   two.election.ReadLeaderKeyNow(true);
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.MayOrder(); }));
-  CHECK(BootClock::now() - began < kOrdersEndAfter);
+  CHECK(BootClock::now() - began < kOrdersEndAfterRestore);
   CHECK(two.election.load_history_known());
 }
 
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -17,12 +17,12 @@
 using Time = OrderHistory::Time;
 
 constexpr milliseconds kLease{3'000};
-constexpr milliseconds kApart{3'000};
-constexpr milliseconds kWaitAfterOther{2'400};  // Apart + 600 + 300 - half of the lease.
-constexpr milliseconds kOwnWait{400};
+constexpr milliseconds kOrderSeparation{3'000};
+constexpr milliseconds kWaitAfterOtherLeader{2'400};  // Apart + 600 + 300 - half of the lease.
+constexpr milliseconds kOwnHandoverWait{400};
 constexpr const char* kServer = "i-1";
-constexpr std::array<milliseconds, 4> kGaps = {milliseconds(0), milliseconds(600),
-                                               milliseconds(1'499), milliseconds(3'000)};
+constexpr std::array<milliseconds, 4> kTimeSteps = {milliseconds(0), milliseconds(600),
+                                                    milliseconds(1'499), milliseconds(3'000)};
 constexpr int kMachines = 3;
 constexpr int kSteps = 5;
 
@@ -30,19 +30,25 @@
 struct Rules {
   bool stop_at_half_lease = true;
   bool bound_orders = true;
-  bool wait_after_win = true;        ///< Where the leader before left nothing.
-  bool keep_away = true;             ///< From servers that the leader before left as ordered.
+  bool wait_after_win = true;  ///< Where the leader before left nothing.
+  bool avoid_recently_ordered_servers =
+      true;                          ///< From servers that the leader before left as ordered.
   bool release_after_orders = true;  ///< Leadership is given up only when no order is under way.
-  bool end_only_released_leases = true;  ///< Else the key is gone before its time.
-  bool own_process_unknown = true;       ///< Others wait for what an earlier process here ordered.
-  bool hand_on_quiet = true;             ///< A leader that still waits hands its wait on.
-  bool settle_when_clear = true;  ///< A restarted leader does without the wait only if all is past.
-  bool claim_as_decided = true;   ///< A claim is dropped when the key changed since it was decided.
-  bool wait_after_return =
+  bool revoke_only_released_leases = true;  ///< Else the key is gone before its time.
+  bool wait_for_own_earlier_process =
+      true;                              ///< Others wait for what an earlier process here ordered.
+  bool hand_over_remaining_wait = true;  ///< A leader that still waits hands its wait on.
+  bool settle_after_expiry =
+      true;  ///< A restarted leader does without the wait only if all is past.
+  bool claim_on_decided_revision =
+      true;  ///< A claim is dropped when the key changed since it was decided.
+  bool wait_after_restore =
       true;  ///< A leader of a later era waits out the orders of the one before.
-  bool renewals_name_era = true;  ///< Else a renewal succeeds on a number that is another's by now.
-  bool copies_tell_the_past = true;  ///< What a copy says of its leader is not taken for what is.
-  bool tokens_count_returns = true;  ///< Else tokens are bare revisions, which are given out again.
+  bool renewals_check_era =
+      true;  ///< Else a renewal succeeds on a number that is another's by now.
+  bool ignore_records_of_past_eras =
+      true;                        ///< What a copy says of its leader is not taken for what is.
+  bool tokens_include_era = true;  ///< Else tokens are bare revisions, which are given out again.
 };
 
 /// A lease that was granted for a claim which the store carries out later, if at all.
@@ -54,15 +60,15 @@
 std::string Name(int index) { return {static_cast<char>('a' + index)}; }
 
 struct Machine {
-  explicit Machine(int index) : history(Name(index), kApart, milliseconds(5'000)) {}
+  explicit Machine(int index) : history(Name(index), kOrderSeparation, milliseconds(5'000)) {}
   OrderWindow window{kLease};
   OrderHistory history;
   std::int64_t token = 0;
   Time busy_until{};
-  Time others_from{};
+  Time others_may_order_from{};
   bool resigned = false;
   std::optional<PendingClaim> pending;
-  StoreRestoreWait era_wait{kLease / 2 + milliseconds(600) + kApart + milliseconds(300)};
+  StoreRestoreWait era_wait{kLease / 2 + milliseconds(600) + kOrderSeparation + milliseconds(300)};
   std::int64_t lease_era = 0;
 };
 
@@ -84,7 +90,7 @@
   Time at;
 };
 
-struct World {
+struct ModelState {
   std::array<Machine, kMachines> machines = {Machine(0), Machine(1), Machine(2)};
   Time now{std::chrono::seconds(1'000)};
   Key key;
@@ -100,168 +106,169 @@
   explicit Explorer(Rules rules) : rules_(rules) {}
 
   /// @return a harm, or nothing when no schedule of that many steps does any.
-  std::optional<std::string> Explore(const World& world, int steps) {
+  std::optional<std::string> Explore(const ModelState& state, int steps) {
     ++visited_;
-    if (steps == 0) return harm_;
-    for (const milliseconds gap : kGaps) {
-      if (harm_) break;
-      World later = world;
+    if (steps == 0) return violation_;
+    for (const milliseconds gap : kTimeSteps) {
+      if (violation_) break;
+      ModelState later = state;
       later.now += gap;
       if (later.key.owner >= 0 && !later.key.released && later.now >= later.key.lease_ends)
         later.key = Key{};
       Step(later, steps - 1);
     }
-    return harm_;
+    return violation_;
   }
   std::uint64_t visited() const { return visited_; }
 
   /// "a" has led for long and handed its lead to "b", which has just ordered. Copies of all three
   /// times may come back.
-  World HandedOver() {
-    World world = FirstOrder(milliseconds(0));
-    world.key.settled = true;
-    world.copies = {Key{}, world.key};
-    world.now += milliseconds(5'000);
-    Machine& leaver = At(world, 0);
-    world.key.released = leaver.history.Write(world.now, leaver.window.order_from());
-    world.key.written = world.now;
-    world.key.revision = world.NextRevision();
-    leaver.window.Lose();
-    world.copies.push_back(world.key);
-    BeginTerm(world, 1);
-    world.now += milliseconds(4'000);
-    At(world, 1).window.Renew(world.now);
-    world.key.lease_ends = world.now + kLease;
-    Send(world, 1, milliseconds(0));
-    return world;
+  ModelState StateAfterHandover() {
+    ModelState state = StateAfterFirstOrder(milliseconds(0));
+    state.key.settled = true;
+    state.copies = {Key{}, state.key};
+    state.now += milliseconds(5'000);
+    Machine& resigning_machine = At(state, 0);
+    state.key.released =
+        resigning_machine.history.ToRecord(state.now, resigning_machine.window.order_from());
+    state.key.written = state.now;
+    state.key.revision = state.NextRevision();
+    resigning_machine.window.Lose();
+    state.copies.push_back(state.key);
+    BeginTerm(state, 1);
+    state.now += milliseconds(4'000);
+    At(state, 1).window.Renew(state.now);
+    state.key.lease_ends = state.now + kLease;
+    Send(state, 1, milliseconds(0));
+    return state;
   }
 
   /// The store has come back without the key while "b" led, who has not heard of it; "c" has won.
   /// Where renewals succeed by number, those of "b" have gone on since.
-  World LeaderUnaware() {
-    World world = HandedOver();
-    world.copies.clear();
-    ++world.era;
-    world.key = Key{};
-    for (Machine& machine : world.machines) machine.era_wait.NoteEra(world.era, world.now);
-    BeginTerm(world, 2);
+  ModelState StateWithUnawareLeader() {
+    ModelState state = StateAfterHandover();
+    state.copies.clear();
+    ++state.era;
+    state.key = Key{};
+    for (Machine& machine : state.machines) machine.era_wait.NoteEra(state.era, state.now);
+    BeginTerm(state, 2);
     for (int renewal = 0; renewal < 3; ++renewal) {
-      world.now += milliseconds(1'499);
-      if (!rules_.renewals_name_era) At(world, 1).window.Renew(world.now);
-      At(world, 2).window.Renew(world.now);
+      state.now += milliseconds(1'499);
+      if (!rules_.renewals_check_era) At(state, 1).window.Renew(state.now);
+      At(state, 2).window.Renew(state.now);
     }
-    world.key.lease_ends = world.now + kLease;
-    return world;
+    state.key.lease_ends = state.now + kLease;
+    return state;
   }
 
   /// "a" led and lost its key after its lease; "a" and "b" have both been granted leases to claim
   /// it, and the claim of "a" is done.
-  World TwoCandidates() {
-    World world = FirstOrder(milliseconds(0));
-    world.now += kLease;
-    world.key = Key{};
-    At(world, 0).window.Lose();
+  ModelState StateWithTwoCandidates() {
+    ModelState state = StateAfterFirstOrder(milliseconds(0));
+    state.now += kLease;
+    state.key = Key{};
+    At(state, 0).window.Lose();
     for (const int index : {0, 1})
-      At(world, index).pending = PendingClaim{world.now, *ConditionOf(world, index)};
-    CarryOutClaim(world, 0);
-    return world;
+      At(state, index).pending = PendingClaim{state.now, *ConditionOf(state, index)};
+    CarryOutClaim(state, 0);
+    return state;
   }
 
   /// "a" leads for long, and has just sent an order that arrives after `delay`.
-  World FirstOrder(milliseconds delay) {
-    World world;
-    Win(world, 0, world.now);
-    world.now += milliseconds(10'000);
-    At(world, 0).window.Renew(world.now);
-    world.key.lease_ends = world.now + kLease;
-    Send(world, 0, delay);
-    return world;
+  ModelState StateAfterFirstOrder(milliseconds delay) {
+    ModelState state;
+    Win(state, 0, state.now);
+    state.now += milliseconds(10'000);
+    At(state, 0).window.Renew(state.now);
+    state.key.lease_ends = state.now + kLease;
+    Send(state, 0, delay);
+    return state;
   }
 
  private:
-  static Machine& At(World& world, int index) {
-    return world.machines[static_cast<std::size_t>(index)];
+  static Machine& At(ModelState& state, int index) {
+    return state.machines[static_cast<std::size_t>(index)];
   }
 
   /// The key is as it was in a copy; its lease is there or not, and revisions are given out again.
-  void ComeBack(const World& before, const Key& copy, int steps) {
-    World world = before;
-    world.copies.clear();
-    ++world.era;
-    world.revision = std::max<std::int64_t>(1, copy.revision.number);
-    world.key = copy;
-    if (copy.owner >= 0) world.key.revision.era = world.era;
-    world.key.lease_ends = world.now + kLease;
-    for (Machine& machine : world.machines) machine.era_wait.NoteEra(world.era, world.now);
-    Explore(world, steps);
+  void RestoreCopy(const ModelState& before, const Key& copy, int steps) {
+    ModelState state = before;
+    state.copies.clear();
+    ++state.era;
+    state.revision = std::max<std::int64_t>(1, copy.revision.number);
+    state.key = copy;
+    if (copy.owner >= 0) state.key.revision.era = state.era;
+    state.key.lease_ends = state.now + kLease;
+    for (Machine& machine : state.machines) machine.era_wait.NoteEra(state.era, state.now);
+    Explore(state, steps);
   }
 
-  void Step(const World& world, int steps) {
-    for (const Key& copy : world.copies) ComeBack(world, copy, steps);
-    bool claimed_by_new = false;
-    for (int index = 0; index < kMachines && !harm_; ++index) {
-      const Machine& machine = world.machines[static_cast<std::size_t>(index)];
+  void Step(const ModelState& state, int steps) {
+    for (const Key& copy : state.copies) RestoreCopy(state, copy, steps);
+    bool fresh_machine_claimed = false;
+    for (int index = 0; index < kMachines && !violation_; ++index) {
+      const Machine& machine = state.machines[static_cast<std::size_t>(index)];
       if (machine.window.leading()) {
-        Renew(world, index, steps);
+        Renew(state, index, steps);
         for (const milliseconds delay : Delays())
-          if (MaySend(world, machine)) {
-            World sent = world;
+          if (MaySend(state, machine)) {
+            ModelState sent = state;
             Send(sent, index, delay);
             Explore(sent, steps);
           }
-        Release(world, index, steps);
-        Restart(world, index, steps);
-        Settle(world, index, steps);
+        Release(state, index, steps);
+        Restart(state, index, steps);
+        WriteSettledRecord(state, index, steps);
       }
       // Machines that have not led are alike: one of them is enough.
       const bool fresh = machine.token == 0;
-      if (MayClaim(world, index) && !(fresh && claimed_by_new)) {
-        claimed_by_new = claimed_by_new || fresh;
-        Claim(world, index, steps);
+      if (MayClaim(state, index) && !(fresh && fresh_machine_claimed)) {
+        fresh_machine_claimed = fresh_machine_claimed || fresh;
+        Claim(state, index, steps);
       }
-      ClaimLater(world, index, steps);
+      ClaimLater(state, index, steps);
     }
   }
 
   /// What the machine would see of the key now.
-  static LeaderKeyState SightOf(const World& world) {
-    if (world.key.owner < 0) return {std::nullopt, {world.era, 0}, false};
+  static LeaderKeyState KeyStateOf(const ModelState& state) {
+    if (state.key.owner < 0) return {std::nullopt, {state.era, 0}, false};
     LeaderRecord record;
-    record.name = Name(world.key.owner);
-    record.released = world.key.released.has_value();
-    return {record, world.key.revision, false};
+    record.name = Name(state.key.owner);
+    record.released = state.key.released.has_value();
+    return {record, state.key.revision, false};
   }
 
-  static std::optional<LeadershipClaim> ConditionOf(const World& world, int index) {
-    const auto condition = LeadershipClaim::Condition(SightOf(world), Name(index));
+  static std::optional<LeadershipClaim> ConditionOf(const ModelState& state, int index) {
+    const auto condition = LeadershipClaim::Condition(KeyStateOf(state), Name(index));
     if (!condition) return std::nullopt;
     return LeadershipClaim(*condition);
   }
 
   /// The lease that was asked for earlier has come, or the claim was on its way for long.
-  void ClaimLater(const World& before, int index, int steps) {
+  void ClaimLater(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     if (!machine.pending || machine.window.leading()) return;
     if (before.now >= machine.pending->granted + kLease) return;  // No such lease.
-    World world = before;
-    PendingClaim& pending = *At(world, index).pending;
-    if (!rules_.claim_as_decided)
+    ModelState state = before;
+    PendingClaim& pending = *At(state, index).pending;
+    if (!rules_.claim_on_decided_revision)
       pending.claim =
-          LeadershipClaim(world.key.owner < 0 ? StoreRevision{world.era, 0} : world.key.revision);
+          LeadershipClaim(state.key.owner < 0 ? StoreRevision{state.era, 0} : state.key.revision);
     const StoreRevision now_there =
-        world.key.owner < 0 ? StoreRevision{world.era, 0} : world.key.revision;
+        state.key.owner < 0 ? StoreRevision{state.era, 0} : state.key.revision;
     if (pending.claim.condition() != now_there) return;
-    CarryOutClaim(world, index);
-    Explore(world, steps);
+    CarryOutClaim(state, index);
+    Explore(state, steps);
   }
 
-  void CarryOutClaim(World& world, int index) {
-    Machine& machine = At(world, index);
+  void CarryOutClaim(ModelState& state, int index) {
+    Machine& machine = At(state, index);
     const Time granted = machine.pending->granted;
     machine.pending.reset();
-    BeginTerm(world, index);
+    BeginTerm(state, index);
     machine.window.Win(granted, machine.window.order_from());
-    world.key.lease_ends = granted + kLease;
+    state.key.lease_ends = granted + kLease;
   }
 
   std::vector<milliseconds> Delays() const {
@@ -269,168 +276,173 @@
     return {milliseconds(0), milliseconds(5'000)};
   }
 
-  bool MaySend(const World& world, const Machine& machine) const {
-    const bool in_time = rules_.stop_at_half_lease ? machine.window.MayOrder(world.now)
-                                                   : machine.window.Settled(world.now) &&
-                                                         !machine.window.Lapsed(world.now);
-    const bool free = !rules_.keep_away || world.now >= machine.history.SafeToOrderFrom(kServer);
+  bool MaySend(const ModelState& state, const Machine& machine) const {
+    const bool in_time = rules_.stop_at_half_lease ? machine.window.MayOrder(state.now)
+                                                   : machine.window.InitialWaitOver(state.now) &&
+                                                         !machine.window.Lapsed(state.now);
+    const bool free = !rules_.avoid_recently_ordered_servers ||
+                      state.now >= machine.history.SafeToOrderFrom(kServer);
     return in_time && free && !machine.resigned;
   }
 
-  void Send(World& world, int index, milliseconds delay) {
-    Machine& machine = At(world, index);
-    const Time arrives = world.now + delay;
+  void Send(ModelState& state, int index, milliseconds delay) {
+    Machine& machine = At(state, index);
+    const Time arrives = state.now + delay;
     machine.busy_until = std::max(machine.busy_until, arrives);
     machine.history.NoteOrder(kServer, arrives);
-    Arrive(world, {index, machine.token, arrives});
+    RecordArrival(state, {index, machine.token, arrives});
   }
 
   /// The lease of a key that another has taken can be renewed as well as any.
-  void Renew(const World& before, int index, int steps) {
+  void Renew(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
-    if (rules_.renewals_name_era && machine.lease_era != before.era) return;
+    if (rules_.renewals_check_era && machine.lease_era != before.era) return;
     const bool ours = before.key.owner == index && before.key.token == machine.token;
     const bool overwritten = before.key.owner >= 0 && !ours && !machine.window.Lapsed(before.now);
     if (before.key.released || (!ours && !overwritten)) return;
-    World answered = before;
+    ModelState answered = before;
     if (ours) answered.key.lease_ends = before.now + kLease;
-    World lost = answered;
+    ModelState lost = answered;
     At(answered, index).window.Renew(before.now);
     Explore(answered, steps);
     Explore(lost, steps);
   }
 
-  void Release(const World& before, int index, int steps) {
+  void Release(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     if (rules_.release_after_orders && before.now < machine.busy_until) return;
-    World world = before;
-    Machine& leaver = At(world, index);
-    OrderHistoryRecord record =
-        leaver.history.Write(world.now, std::max(leaver.window.order_from(), leaver.others_from));
-    if (!rules_.hand_on_quiet) record.quiet_ms = 0;
-    leaver.window.Lose();
-    leaver.resigned = true;
-    const bool ours = world.key.owner == index && world.key.token == leaver.token &&
-                      leaver.lease_era == world.era;
+    ModelState state = before;
+    Machine& resigning_machine = At(state, index);
+    OrderHistoryRecord record = resigning_machine.history.ToRecord(
+        state.now,
+        std::max(resigning_machine.window.order_from(), resigning_machine.others_may_order_from));
+    if (!rules_.hand_over_remaining_wait) record.quiet_ms = 0;
+    resigning_machine.window.Lose();
+    resigning_machine.resigned = true;
+    const bool ours = state.key.owner == index && state.key.token == resigning_machine.token &&
+                      resigning_machine.lease_era == state.era;
     if (!ours) {
-      Explore(world, steps);
+      Explore(state, steps);
       return;
     }
-    World not_written = world;
-    if (!rules_.end_only_released_leases) not_written.key = Key{};
+    ModelState not_written = state;
+    if (!rules_.revoke_only_released_leases) not_written.key = Key{};
     Explore(not_written, steps);
-    world.key.released = record;
-    world.key.written = world.now;
-    world.key.revision = world.NextRevision();
-    world.key.written_in = world.era;
-    Explore(world, steps);
+    state.key.released = record;
+    state.key.written = state.now;
+    state.key.revision = state.NextRevision();
+    state.key.written_in = state.era;
+    Explore(state, steps);
   }
 
-  void Restart(const World& before, int index, int steps) {
-    World world = before;
-    At(world, index) = Machine(index);
-    At(world, index).era_wait.NoteEra(world.era, world.now);
-    Explore(world, steps);
+  void Restart(const ModelState& before, int index, int steps) {
+    ModelState state = before;
+    At(state, index) = Machine(index);
+    At(state, index).era_wait.NoteEra(state.era, state.now);
+    Explore(state, steps);
   }
 
-  void Settle(const World& before, int index, int steps) {
+  void WriteSettledRecord(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     const bool ours = before.key.owner == index && before.key.token == machine.token &&
                       machine.lease_era == before.era;
-    const bool clear = !rules_.settle_when_clear || machine.history.Clear(before.now);
-    if (!ours || before.key.settled || !machine.window.Settled(before.now) || !clear) return;
-    World world = before;
-    world.key.settled = true;
-    world.key.revision = world.NextRevision();
-    Explore(world, steps);
+    const bool clear =
+        !rules_.settle_after_expiry || machine.history.InheritedOrdersExpired(before.now);
+    if (!ours || before.key.settled || !machine.window.InitialWaitOver(before.now) || !clear)
+      return;
+    ModelState state = before;
+    state.key.settled = true;
+    state.key.revision = state.NextRevision();
+    Explore(state, steps);
   }
 
-  static bool MayClaim(const World& world, int index) {
-    const Machine& machine = world.machines[static_cast<std::size_t>(index)];
+  static bool MayClaim(const ModelState& state, int index) {
+    const Machine& machine = state.machines[static_cast<std::size_t>(index)];
     if (machine.window.leading() || machine.resigned) return false;
-    return ConditionOf(world, index).has_value();
+    return ConditionOf(state, index).has_value();
   }
 
-  void Claim(const World& before, int index, int steps) {
-    World world = before;
-    BeginTerm(world, index);
-    Explore(world, steps);
+  void Claim(const ModelState& before, int index, int steps) {
+    ModelState state = before;
+    BeginTerm(state, index);
+    Explore(state, steps);
   }
 
-  void BeginTerm(World& world, int index) {
-    Machine& machine = At(world, index);
-    const bool tells_now = !rules_.copies_tell_the_past || world.key.written_in == world.era;
-    const bool own = world.key.owner == index && !world.key.released;
-    if (tells_now && world.key.owner >= 0) machine.era_wait.NoteRecord(RecordOf(world));
-    const bool follows_own = !(tells_now && world.key.released) &&
-                             machine.window.ContinuesOwnTerm(world.now, kWaitAfterOther);
-    const Time covered = world.now + kApart + milliseconds(900);
-    machine.others_from = own && rules_.own_process_unknown ? covered : Time{};
-    milliseconds wait = rules_.wait_after_win ? kWaitAfterOther : milliseconds(0);
-    if (tells_now &&
-        world.key.released) {  // The earliest sight of the record is the most dangerous.
-      machine.history.Inherit(*world.key.released, world.key.written);
-      const Time quiet = world.key.written + milliseconds(world.key.released->quiet_ms);
-      wait = std::chrono::ceil<milliseconds>(std::max(quiet, world.now) - world.now);
-    } else if (tells_now && world.key.owner == index && world.key.settled) {
-      machine.history.Begin();
-      wait = kOwnWait;
-    } else if (machine.window.ContinuesOwnTerm(world.now, kWaitAfterOther)) {
-      wait = kOwnWait;
+  void BeginTerm(ModelState& state, int index) {
+    Machine& machine = At(state, index);
+    const bool record_is_current =
+        !rules_.ignore_records_of_past_eras || state.key.written_in == state.era;
+    const bool own = state.key.owner == index && !state.key.released;
+    if (record_is_current && state.key.owner >= 0) machine.era_wait.NoteRecord(RecordOf(state));
+    const bool follows_own = !(record_is_current && state.key.released) &&
+                             machine.window.ContinuesOwnTerm(state.now, kWaitAfterOtherLeader);
+    const Time covered = state.now + kOrderSeparation + milliseconds(900);
+    machine.others_may_order_from = own && rules_.wait_for_own_earlier_process ? covered : Time{};
+    milliseconds wait = rules_.wait_after_win ? kWaitAfterOtherLeader : milliseconds(0);
+    if (record_is_current &&
+        state.key.released) {  // The earliest sight of the record is the most dangerous.
+      machine.history.Inherit(*state.key.released, state.key.written);
+      const Time quiet = state.key.written + milliseconds(state.key.released->quiet_ms);
+      wait = std::chrono::ceil<milliseconds>(std::max(quiet, state.now) - state.now);
+    } else if (record_is_current && state.key.owner == index && state.key.settled) {
+      machine.history.Reset();
+      wait = kOwnHandoverWait;
+    } else if (machine.window.ContinuesOwnTerm(state.now, kWaitAfterOtherLeader)) {
+      wait = kOwnHandoverWait;
     } else {
-      machine.history.Begin();
+      machine.history.Reset();
     }
-    Time order_from = world.now + wait;
-    if (rules_.wait_after_return && !follows_own)
+    Time order_from = state.now + wait;
+    if (rules_.wait_after_restore && !follows_own)
       order_from = std::max(order_from, machine.era_wait.quiet_until());
-    Win(world, index, order_from);
+    Win(state, index, order_from);
   }
 
-  LeaderRecord RecordOf(const World& world) const {
+  LeaderRecord RecordOf(const ModelState& state) const {
     LeaderRecord record;
-    record.era = rules_.copies_tell_the_past ? world.key.written_in : world.era;
+    record.era = rules_.ignore_records_of_past_eras ? state.key.written_in : state.era;
     return record;
   }
 
-  void Win(World& world, int index, Time order_from) {
-    Machine& machine = At(world, index);
-    const StoreRevision claimed = world.NextRevision();
-    machine.token = rules_.tokens_count_returns ? FencingToken(claimed) : claimed.number;
-    machine.lease_era = world.era;
-    machine.window.Win(world.now, order_from);
-    world.key = Key{};
-    world.key.owner = index;
-    world.key.token = machine.token;
-    world.key.lease_ends = world.now + kLease;
-    world.key.written = world.now;
-    world.key.revision = claimed;
-    world.key.written_in = world.era;
+  void Win(ModelState& state, int index, Time order_from) {
+    Machine& machine = At(state, index);
+    const StoreRevision claimed = state.NextRevision();
+    machine.token = rules_.tokens_include_era ? FencingToken(claimed) : claimed.number;
+    machine.lease_era = state.era;
+    machine.window.Win(state.now, order_from);
+    state.key = Key{};
+    state.key.owner = index;
+    state.key.token = machine.token;
+    state.key.lease_ends = state.now + kLease;
+    state.key.written = state.now;
+    state.key.revision = claimed;
+    state.key.written_in = state.era;
     for (int other = 0; other < kMachines; ++other)
-      if (other != index) At(world, other).window.NoteOtherLeader();
+      if (other != index) At(state, other).window.NoteOtherLeader();
   }
 
-  void Arrive(World& world, const Arrival& arrival) {
-    for (const Arrival& other : world.arrivals) {
+  void RecordArrival(ModelState& state, const Arrival& arrival) {
+    for (const Arrival& other : state.arrivals) {
       const auto apart = arrival.at > other.at ? arrival.at - other.at : other.at - arrival.at;
-      if (other.sender != arrival.sender && apart < kApart)
-        harm_ = "orders of two machines lie too close together";
+      if (other.sender != arrival.sender && apart < kOrderSeparation)
+        violation_ = "orders of two machines lie too close together";
       const Arrival& first = arrival.at < other.at ? arrival : other;
       const Arrival& second = arrival.at < other.at ? other : arrival;
       if (apart.count() > 0 && second.token < first.token)
-        harm_ = "an older token arrived after a newer one";
+        violation_ = "an older token arrived after a newer one";
     }
-    world.arrivals.push_back(arrival);
+    state.arrivals.push_back(arrival);
   }
 
   Rules rules_;
-  std::optional<std::string> harm_;
+  std::optional<std::string> violation_;
   std::uint64_t visited_ = 0;
 };
 
 std::optional<std::string> ExploreFromFirstOrder(const Rules& rules, milliseconds delay,
                                                  int steps = kSteps) {
   Explorer explorer(rules);
-  return explorer.Explore(explorer.FirstOrder(delay), steps);
+  return explorer.Explore(explorer.StateAfterFirstOrder(delay), steps);
 }
 
 TEST_CASE("No schedule brings orders of two machines to one server too close together") {
@@ -440,7 +452,7 @@
 
 std::optional<std::string> ExploreTwoCandidates(const Rules& rules, int steps) {
   Explorer explorer(rules);
-  return explorer.Explore(explorer.TwoCandidates(), steps);
+  return explorer.Explore(explorer.StateWithTwoCandidates(), steps);
 }
 
 TEST_CASE("No schedule does harm after two machines were granted leases for one claim each") {
@@ -448,7 +460,7 @@
 }
 
 TEST_CASE("A claim that is sent on a key which changed since it was decided does harm") {
-  CHECK(ExploreTwoCandidates({.claim_as_decided = false}, kSteps).has_value());
+  CHECK(ExploreTwoCandidates({.claim_on_decided_revision = false}, kSteps).has_value());
 }
 
 TEST_CASE("Without any one of the rules, some schedule does harm") {
@@ -458,18 +470,25 @@
     milliseconds first_order_takes;
     int steps = kSteps;
   };
-  const milliseconds soon(0);
-  const milliseconds late(600);
+  const milliseconds immediate(0);
+  const milliseconds delayed(600);
   const std::vector<Case> cases = {
-      {"orders until the lease ends", {.stop_at_half_lease = false}, soon},
+      {"orders until the lease ends", {.stop_at_half_lease = false}, immediate},
       {"orders that take long", {.bound_orders = false}, milliseconds(5'000)},
-      {"no wait after a win", {.wait_after_win = false}, soon},
-      {"servers left as ordered are not kept away from", {.keep_away = false}, soon},
-      {"leadership released under an order", {.release_after_orders = false}, late, kSteps + 1},
-      {"a lease that is ended under its key", {.end_only_released_leases = false}, soon},
-      {"orders of an earlier process of this machine", {.own_process_unknown = false}, soon},
-      {"a wait that is not handed on", {.hand_on_quiet = false}, late},
-      {"settled while something inherited matters", {.settle_when_clear = false}, soon, kSteps + 1},
+      {"no wait after a win", {.wait_after_win = false}, immediate},
+      {"servers left as ordered are not kept away from",
+       {.avoid_recently_ordered_servers = false},
+       immediate},
+      {"leadership released under an order", {.release_after_orders = false}, delayed, kSteps + 1},
+      {"a lease that is ended under its key", {.revoke_only_released_leases = false}, immediate},
+      {"orders of an earlier process of this machine",
+       {.wait_for_own_earlier_process = false},
+       immediate},
+      {"a wait that is not handed on", {.hand_over_remaining_wait = false}, delayed},
+      {"settled while something inherited matters",
+       {.settle_after_expiry = false},
+       immediate,
+       kSteps + 1},
   };
   for (const Case& each : cases) {
     CAPTURE(each.name);
@@ -477,26 +496,26 @@
   }
 }
 
-std::optional<std::string> ExploreReturns(const Rules& rules, int steps) {
+std::optional<std::string> ExploreRestores(const Rules& rules, int steps) {
   Explorer explorer(rules);
-  return explorer.Explore(explorer.HandedOver(), steps);
+  return explorer.Explore(explorer.StateAfterHandover(), steps);
 }
 
-std::optional<std::string> ExploreUnaware(const Rules& rules, int steps) {
+std::optional<std::string> ExploreUnawareLeader(const Rules& rules, int steps) {
   Explorer explorer(rules);
-  return explorer.Explore(explorer.LeaderUnaware(), steps);
+  return explorer.Explore(explorer.StateWithUnawareLeader(), steps);
 }
 
 TEST_CASE("No schedule does harm where the store comes back from an older copy at any step") {
-  CHECK(ExploreReturns({}, 4) == std::nullopt);
-  CHECK(ExploreUnaware({}, 4) == std::nullopt);
+  CHECK(ExploreRestores({}, 4) == std::nullopt);
+  CHECK(ExploreUnawareLeader({}, 4) == std::nullopt);
 }
 
 TEST_CASE("Without any one of the rules for a store that comes back, some schedule does harm") {
-  CHECK(ExploreReturns({.wait_after_return = false}, 4).has_value());
-  CHECK(ExploreUnaware({.renewals_name_era = false}, 4).has_value());
-  CHECK(ExploreReturns({.copies_tell_the_past = false}, 4).has_value());
-  CHECK(ExploreReturns({.tokens_count_returns = false}, 4).has_value());
+  CHECK(ExploreRestores({.wait_after_restore = false}, 4).has_value());
+  CHECK(ExploreUnawareLeader({.renewals_check_era = false}, 4).has_value());
+  CHECK(ExploreRestores({.ignore_records_of_past_eras = false}, 4).has_value());
+  CHECK(ExploreRestores({.tokens_include_era = false}, 4).has_value());
 }
 
 }  // namespace
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -10,11 +10,11 @@
 using std::chrono::milliseconds;
 using Time = OrderHistory::Time;
 
-constexpr milliseconds kApart{3'000};
+constexpr milliseconds kOrderSeparation{3'000};
 constexpr milliseconds kLoadWindow{5'000};
 const Time kStart{std::chrono::seconds(1'000)};
 
-OrderHistory Make(const std::string& holder) { return {holder, kApart, kLoadWindow}; }
+OrderHistory Make(const std::string& holder) { return {holder, kOrderSeparation, kLoadWindow}; }
 
 TEST_CASE("The next leader keeps away from ordered servers only, and only for as long as needed") {
   OrderHistory before = Make("a");
@@ -22,7 +22,7 @@
   before.NoteOrder("i-1", kStart);
   before.NoteOrder("i-2", kStart + milliseconds(2'000));
   before.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later one counts.
-  const OrderHistoryRecord record = before.Write(kStart + milliseconds(2'000), kStart);
+  const OrderHistoryRecord record = before.ToRecord(kStart + milliseconds(2'000), kStart);
   CHECK(record.servers.size() == 2);
   CHECK(record.quiet_ms == 0);
   OrderHistory next = Make("b");
@@ -32,15 +32,15 @@
   // 3,000 apart and 300 to spare; the order ended 2,000 before the record was written.
   CHECK(next.SafeToOrderFrom("i-1") == seen + milliseconds(1'300));
   CHECK(next.SafeToOrderFrom("i-2") == seen + milliseconds(3'300));
-  CHECK_FALSE(next.Clear(seen + milliseconds(3'299)));
-  CHECK(next.Clear(seen + milliseconds(3'300)));
+  CHECK_FALSE(next.InheritedOrdersExpired(seen + milliseconds(3'299)));
+  CHECK(next.InheritedOrdersExpired(seen + milliseconds(3'300)));
 }
 
 TEST_CASE("A machine need not keep apart from its own earlier process, only outlast its orders") {
   OrderHistory before = Make("a");
   before.NoteOrder("i-1", kStart);
   OrderHistory again = Make("a");
-  again.Inherit(before.Write(kStart, kStart), kStart);
+  again.Inherit(before.ToRecord(kStart, kStart), kStart);
   CHECK(again.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
@@ -48,18 +48,18 @@
   OrderHistory first = Make("a");
   first.NoteOrder("i-1", kStart);
   OrderHistory second = Make("b");
-  second.Inherit(first.Write(kStart, kStart), kStart);
+  second.Inherit(first.ToRecord(kStart, kStart), kStart);
   const Time later = kStart + milliseconds(1'000);
   second.NoteOrder("i-2", later);
-  const OrderHistoryRecord record = second.Write(later, kStart + milliseconds(2'400));
+  const OrderHistoryRecord record = second.ToRecord(later, kStart + milliseconds(2'400));
   CHECK(record.quiet_ms == 1'400);
   OrderHistory third = Make("c");
   third.Inherit(record, later);
   CHECK(third.SafeToOrderFrom("i-1") == kStart + milliseconds(3'300));
   CHECK(third.SafeToOrderFrom("i-2") == later + milliseconds(3'300));
-  CHECK(second.Write(kStart + milliseconds(20'000), kStart).servers.empty());
-  second.Begin();
-  CHECK(second.Clear(kStart));
+  CHECK(second.ToRecord(kStart + milliseconds(20'000), kStart).servers.empty());
+  second.Reset();
+  CHECK(second.InheritedOrdersExpired(kStart));
 }
 
 TEST_CASE("Loads of the leader before count against the bound on loads") {
@@ -68,7 +68,7 @@
   before.loads().RecordUnansweredLoad(kStart);
   const Time later = kStart + milliseconds(1'000);
   OrderHistory next = Make("b");
-  next.Inherit(before.Write(later, kStart), later);
+  next.Inherit(before.ToRecord(later, kStart), later);
   CHECK(next.loads().AvailableLoads(2, later) == Approx(3));
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'200)) == Approx(3));
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'400)) == Approx(9));
