--- a/src/fleet/fleet_members.cc
+++ b/src/fleet/fleet_members.cc
@@ -8,10 +8,11 @@
 
 using std::chrono::milliseconds;
 
-/// Reports come twice a second; a daemon that missed three may be gone.
+/// Age after which a report no longer counts. Reports arrive twice a second; a daemon that missed
+/// three may have failed.
 constexpr milliseconds kReportExpiry{1'600};
 constexpr milliseconds kCleanupInterval{500};
-/// Before that, a daemon may not know the servers yet.
+/// A daemon with a shorter uptime may not know the servers yet.
 constexpr milliseconds kMinSuccessorUptime{300};
 
 }  // namespace
@@ -20,7 +21,7 @@
   members_[report.sender] = {report.address,  milliseconds(report.uptime_ms),
                              report.strength, report.stopping,
                              report.format,   now};
-  // Not with each report, or the work would grow with the square of the daemons.
+  // Not done for each report: that work would grow with the square of the number of daemons.
   if (now < next_cleanup_at_) return;
   next_cleanup_at_ = now + kCleanupInterval;
   std::erase_if(members_, [&](const auto& member) {
--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -15,27 +15,31 @@
 
 constexpr milliseconds kTickInterval{100};
 constexpr milliseconds kRenewalInterval{500};
-/// Orders of this machine's process before a restart may still be on their way.
+/// Orders that this machine's process sent before a restart may still be in flight for this time.
 constexpr milliseconds kOwnHandoverWait{400};
 constexpr milliseconds kMaxJitter{150};
 constexpr milliseconds kCampaignPause{700};
 constexpr milliseconds kWaitMargin{300};
-/// A leader that lost its lease in an outage of the store goes first: it need not wait for its own
-/// orders.
+/// How much later other machines claim the key of a leader that lost its lease in an outage of the
+/// store. That leader goes first because it does not have to wait for its own orders.
 constexpr milliseconds kFormerLeaderHeadStart{300};
-/// A daemon that is offered leadership goes first.
+/// How much later other daemons claim a released key than the daemon that was offered leadership.
 constexpr milliseconds kOfferedDaemonHeadStart{600};
 constexpr milliseconds kReadInterval{300};
-/// A claim costs the store a lease and a transaction: a key that was seen longer ago is read first.
-/// In a fleet that starts at once most daemons then find that one of them leads already.
+/// Age from which the known state of the key is read again before a claim. A claim costs the store
+/// a lease and a transaction. When a whole fleet starts at once, most daemons find by this read
+/// that one of them already leads.
 constexpr milliseconds kKeyStateMaxAge{100};
-/// Of a fleet, so many reads of the key in each `kReadInterval` find a leader that is gone soon
-/// enough; the others hear of the next one when they read the store anyway.
+/// Number of reads of the key by the whole fleet in each `kReadInterval`. These detect the loss of
+/// a leader soon enough; the other daemons learn of the next leader by their regular reads of the
+/// store.
 constexpr std::uint32_t kReadersPerInterval = 8;
 constexpr std::uint32_t kReadPhases = 64;
-/// Of a leader that speaks twice a second: its key is read until its lease has lapsed.
+/// Silence after which a leader's key is read. A leader sends a message twice a second. Its key
+/// stays until its lease lapses, and is read until then.
 constexpr milliseconds kLeaderSilenceTimeout{1'300};
-/// A leader has one write of its record at a time under way: the second try knows its revision.
+/// A leader has at most one write of its record in flight, so the second attempt knows the
+/// revision.
 constexpr int kMaxReleaseAttempts = 2;
 
 }  // namespace
@@ -47,8 +51,8 @@
       settings_(std::move(settings)),
       window_(settings_.time_to_live),
       history_(settings_.name, settings_.order_separation, settings_.load_window),
-      era_wait_(settings_.time_to_live / 2 + kMaxOrderDuration + settings_.order_separation +
-                kWaitMargin),
+      restore_wait_(settings_.time_to_live / 2 + kMaxOrderDuration + settings_.order_separation +
+                    kWaitMargin),
       timer_(context) {}
 
 void LeaderElection::Start() { Tick(); }
@@ -69,8 +73,9 @@
          milliseconds(hash % static_cast<std::size_t>(kMaxJitter.count()));
 }
 
-/// An older leader's last order arrives no later than half a lease and an order's length after its
-/// last renewal, and its key lapses a whole lease after it: what is left to wait from then on.
+/// Returns the wait that remains when a previous leader's key lapses. That leader's last order
+/// arrives at most half a lease plus the longest order after its last renewal; the key lapses a
+/// whole lease after that renewal.
 milliseconds LeaderElection::WaitAfterOtherLeader() const {
   const milliseconds wait =
       settings_.order_separation + kMaxOrderDuration + kWaitMargin - settings_.time_to_live / 2;
@@ -78,11 +83,12 @@
 }
 
 void LeaderElection::KeyChanged(const std::optional<KeyValue>& entry, StoreRevision revision) {
-  if (window_.leading() && revision < record_revision_) return;  // From before our own write.
-  if (revision <= key_state_revision_) return;                   // Read directly before.
+  if (window_.leading() && revision < record_revision_)
+    return;                                     // Predates this leader's own write.
+  if (revision <= key_state_revision_) return;  // Already known from a direct read.
   key_state_revision_ = revision;
   key_state_seen_at_ = BootClock::now();
-  era_wait_.NoteEra(revision.era, key_state_seen_at_);
+  restore_wait_.NoteEra(revision.era, key_state_seen_at_);
   key_confirmed_at_ = key_state_seen_at_;
   const bool had_leader = leader_.has_value();
   const std::string before = leader_ ? leader_->name : "none";
@@ -93,7 +99,7 @@
   if (entry) {
     try {
       leader_ = DecodeMessage<LeaderRecord>(entry->value);
-      era_wait_.NoteRecord(*leader_);
+      restore_wait_.NoteRecord(*leader_);
       leader_revision_ = entry->mod_revision;
       leader_lease_ = entry->lease;
     } catch (const std::exception& error) {
@@ -114,7 +120,7 @@
   if (another && revision > claim_revision_) window_.NoteOtherLeader();
   const bool ours = leader_ && lease_.exists() && leader_lease_ == lease_;
   if (ours && window_.leading()) record_revision_ = std::max(record_revision_, revision);
-  if (window_.leading() && !ours) Lose("the leader key is another's or gone");
+  if (window_.leading() && !ours) Lose("the leader key is held by another machine or gone");
   if (ours && !window_.leading() && !claim_in_progress_) Won(entry->mod_revision);
   const std::string name = leader_ ? leader_->name : "none";
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kLeaderSeen)
@@ -138,7 +144,7 @@
       !settled_write_started_)
     WriteSettledRecord();
   if (!LeaderSilent(now)) {
-    // Daemons of a large fleet begin to look one after the other.
+    // Staggers the first reads of the daemons in a large fleet.
     const auto phase = std::hash<std::string>{}(settings_.name) % kReadPhases;
     read_not_before_ = now + (ReadInterval() - kReadInterval) * phase / kReadPhases;
   } else if (now >= read_not_before_) {
@@ -176,12 +182,13 @@
   if (resigned_ || !claim.StillHolds(KeyState(), settings_.name)) {
     claim_in_progress_ = false;
     LogClaim(LogEvent::kLeadershipClaimFailed, lease, claim, "the key changed before the claim");
-    store_.RevokeLease(lease, [](const Outcome<bool>&) {});  // No key hangs on it.
+    store_.RevokeLease(lease, [](const Outcome<bool>&) {});  // No key is attached to it.
     return;
   }
   lease_ = lease;
   grant_sent_ = grant_sent;
-  // In a copy, what the record says of its leader may be long past: another may have led since.
+  // In a store restored from a copy, the record may be outdated: another machine may have led
+  // since.
   const bool record_is_current = leader_ && leader_->TellsNow(lease.era);
   resuming_settled_term_ = record_is_current && leader_->name == settings_.name && leader_->settled;
   inherited_history_.reset();
@@ -200,8 +207,8 @@
                   });
 }
 
-/// Without an answer the claim may be done, also seconds later: the watch shows the key with our
-/// lease then.
+/// A claim without an answer may still be carried out, even seconds later. In that case the watch
+/// reports the key with this machine's lease, and KeyChanged completes the win.
 void LeaderElection::HandleClaimResult(const LeadershipClaim& claim, LeaseId lease,
                                        const Outcome<TransactionResult>& result) {
   if (result.ok() && result.value().succeeded) {
@@ -209,11 +216,11 @@
     return;
   }
   LogClaim(LogEvent::kLeadershipClaimFailed, lease, claim,
-           result.ok() ? "the key has another revision" : result.failure().message);
-  if (result.ok()) ReadKey();  // Another has won: its record says who.
+           result.ok() ? "the key has a different revision" : result.failure().message);
+  if (result.ok()) ReadKey();  // Another machine has won; its record names it.
 }
 
-/// One daemon's part of the fleet's reads of the key.
+/// Returns this daemon's interval between reads, its share of the fleet's reads of the key.
 milliseconds LeaderElection::ReadInterval() const {
   return kReadInterval * std::max(1U, daemon_count_ / kReadersPerInterval);
 }
@@ -226,10 +233,11 @@
   log_.Write(LogRank::kDecision, line);
 }
 
-/// @return how long to wait before the first order, whatever the era.
+/// @return how long to wait before the first order, regardless of the store's era.
 milliseconds LeaderElection::BeginTerm(Time now) {
   load_history_known_ = inherited_history_.has_value();
-  // What this machine's earlier process ordered is not known: others wait it out.
+  // The orders of this machine's earlier process are unknown, so a next leader has to wait for
+  // them.
   others_may_order_from_ = claimed_own_unreleased_key_
                                ? now + settings_.order_separation + kMaxOrderDuration + kWaitMargin
                                : Time{};
@@ -243,7 +251,7 @@
     history_.Reset();
     return kOwnHandoverWait;
   }
-  // What was inherited before an outage still holds after it.
+  // History that was inherited before an outage remains valid after it.
   if (window_.ContinuesOwnTerm(now, WaitAfterOtherLeader())) return kOwnHandoverWait;
   history_.Reset();
   return WaitAfterOtherLeader();
@@ -252,12 +260,13 @@
 void LeaderElection::Won(StoreRevision revision) {
   if (window_.leading() || resigned_) return;
   const auto now = BootClock::now();
-  // None but this machine can have ordered since its own term: no other's wait can be over.
+  // Only this machine can have sent orders since its own term: no other machine can have completed
+  // its wait.
   const bool follows_own =
       !inherited_history_ && window_.ContinuesOwnTerm(now, WaitAfterOtherLeader());
   const Time order_from = now + BeginTerm(now);
   window_.Win(grant_sent_,
-              follows_own ? order_from : std::max(order_from, era_wait_.quiet_until()));
+              follows_own ? order_from : std::max(order_from, restore_wait_.quiet_until()));
   claim_revision_ = revision;
   fencing_token_ = FencingToken(revision);
   record_revision_ = revision;
@@ -288,7 +297,7 @@
     if (!left.ok()) {
       ownership_unverified_ = true;
       if (left.failure().fault == PlatformFault::kRejected)
-        Lose("the store says that the lease is over");
+        Lose("the store reports that the lease has expired");
       return;
     }
     window_.Renew(now);
@@ -304,15 +313,16 @@
   return transaction;
 }
 
-/// After a failed renewal: keys may have been taken away though their lease can be renewed. A read
-/// is enough: no machine claims a key that it sees as another's, so a key that still hangs on this
-/// lease was never lost. It is no write, whose answer could be lost and leave a revision unknown.
+/// Checks after a failed renewal whether this machine still holds the key. The key may have been
+/// lost although the lease can be renewed. A read is sufficient: no machine claims a key that it
+/// sees held by another, so a key still attached to this lease was never lost. A write would be
+/// worse, since its answer could be lost and leave the revision unknown.
 void LeaderElection::VerifyKeyOwnership() {
   store_.Range({settings_.key, ""}, [this, lease = lease_](const Outcome<RangeResult>& read) {
     if (lease != lease_ || !window_.leading() || !read.ok()) return;
     const std::vector<KeyValue>& entries = read.value().entries;
     if (entries.empty() || entries.front().lease != lease) {
-      Lose("the leader key was taken away");
+      Lose("the leader key is no longer attached to this machine's lease");
       return;
     }
     record_revision_ = std::max(record_revision_, entries.front().mod_revision);
@@ -320,8 +330,8 @@
   });
 }
 
-/// Notes in the record that an older leader's orders were waited out: after a restart this machine
-/// need not wait for its own.
+/// Records that the orders of previous leaders have been waited for, so that after a restart this
+/// machine waits only for its own.
 void LeaderElection::WriteSettledRecord() {
   settled_write_started_ = true;
   store_.Transact(RecordTransaction(true), [this](const Outcome<TransactionResult>& result) {
@@ -337,8 +347,8 @@
                                     .Field(LogField::kReason, why));
 }
 
-/// A lease is ended only once its key hangs on it no more. Whoever finds the key gone counts on it
-/// that a whole lease has passed since the last renewal.
+/// Revokes the lease only after the key has been detached from it. A machine that finds the key
+/// gone relies on a whole lease having passed since the last renewal.
 void LeaderElection::Resign(std::function<void()> done) {
   StopOrdering();
   if (!window_.leading()) {
@@ -351,8 +361,9 @@
   Release(kMaxReleaseAttempts, std::move(done));
 }
 
-/// Takes the key off the lease and leaves in it what the next leader has to keep away from. Where
-/// that does not come about the key goes with the lease, and the next leader waits in full.
+/// Detaches the key from the lease and writes into it the order history that the next leader has to
+/// respect. If this fails, the key lapses with the lease and the next leader waits for the full
+/// time.
 void LeaderElection::Release(int attempts_left, std::function<void()> done) {
   LeaderRecord record{settings_.name, settings_.address, false, true, {}, lease_.era};
   record.history =
@@ -372,8 +383,8 @@
   });
 }
 
-/// A write of this leader's own whose answer is under way or lost has moved the key's revision on.
-/// A key that hangs on this lease is this leader's, whatever its revision.
+/// The key's revision is unknown when the answer to one of this leader's own writes is in flight or
+/// lost. A key attached to this lease belongs to this leader, whatever its revision.
 void LeaderElection::ReleaseAtCurrentRevision(int attempts_left, std::function<void()> done) {
   store_.Range({settings_.key, ""},
                [this, attempts_left, done = std::move(done)](const Outcome<RangeResult>& read) {
--- a/src/fleet/load_concurrency_limit.h
+++ b/src/fleet/load_concurrency_limit.h
@@ -7,18 +7,19 @@
 
 namespace moorfold {
 
-/// How many loads from the weight store are worth having under way at once. The store shares its
-/// speed among them: beyond some number each takes longer and none is gained, but the urgent ones
-/// wait behind the others. That number is nowhere stated, so it is learned from how long loads
-/// take, or are taking, against what the operator states for one alone. One thread.
+/// Adapts the number of concurrent loads from the weight store. The store divides its bandwidth
+/// among the loads: beyond some number each load takes longer, total throughput does not rise, and
+/// urgent loads are delayed by the others. That number is not configured. It is estimated by
+/// comparing the duration of finished and running loads with the duration that the operator states
+/// for a single load. Single-threaded.
 class LoadConcurrencyLimit {
  public:
   using Time = BootClock::time_point;
 
-  /// A load has ended.
-  /// @param stated how long it takes alone.
-  /// @param taken how long it took, as far as seen: up to a poll's pause too long.
-  /// @param together loads that were under way when it began, itself included.
+  /// Updates the limit with a finished load.
+  /// @param expected Duration of the load when it runs alone.
+  /// @param elapsed Observed duration, too long by up to one polling interval.
+  /// @param concurrent_loads Number of loads in progress when it began, including itself.
   void RecordCompletedLoad(std::chrono::milliseconds expected, std::chrono::milliseconds elapsed,
                            std::size_t concurrent_loads, Time now) {
     if (expected.count() <= 0 || elapsed.count() <= 0 || concurrent_loads == 0) return;
@@ -30,15 +31,16 @@
     const bool full = static_cast<double>(concurrent_loads) >= limit_ - 1;
     if (full && now - last_slowdown_at_ > kRaiseHoldoff) limit_ = std::min(kMaxLimit, limit_ + 1);
   }
-  /// A load is still under way: where it is late already, that shows long before its end.
+  /// Updates the limit with a running load. A load that is already late shows the slowdown long
+  /// before it ends.
   void RecordLoadInProgress(std::chrono::milliseconds expected,
                             std::chrono::milliseconds elapsed_so_far, std::size_t concurrent_loads,
                             Time now) {
     if (expected.count() > 0 && concurrent_loads > 0 && IsSlowed(expected, elapsed_so_far))
       LowerLimit(expected, elapsed_so_far, concurrent_loads, now);
   }
-  /// @param stated how long the load that is to begin takes alone.
-  /// @return loads that may begin beside those under way.
+  /// @param expected Duration of the next load when it runs alone.
+  /// @return the number of loads that may begin in addition to those in progress.
   double AvailableLoads(std::size_t under_way, std::chrono::milliseconds expected) {
     const double limit = initialized_ ? limit_ : InitialLimit(expected);
     return std::max(0.0, limit - static_cast<double>(under_way));
@@ -46,20 +48,22 @@
   double limit() const { return limit_; }
 
  private:
-  /// Ratio of times from which on a load counts as slowed: above the error of reports and polls.
+  /// Ratio of elapsed to expected time above which a load counts as slowed; greater than the error
+  /// of reports and polls.
   static constexpr double kSlowdownThreshold = 1.25;
-  /// The end of a load is seen so much later: a report tells of some hundred ms before, and is
-  /// asked for each 150 ms. Without it loads of 1.3 s count as slowed that are not.
+  /// How late the end of a load is observed: a report describes the state some hundred ms earlier,
+  /// and reports are polled every 150 ms. Without this correction, loads of 1.3 s are wrongly
+  /// counted as slowed.
   static constexpr std::chrono::milliseconds kObservationDelay{500};
   static constexpr double kMinLimit = 1;
   static constexpr double kMaxLimit = 1'000;
-  /// Before any load has been timed: so many at once, or fewer where each takes long. Four loads of
-  /// 13 s at a store that gives one its full speed all take 53 s, and the most urgent comes no
-  /// sooner than the least.
+  /// Limit before any load has been timed; lower where each load takes long. With a store that
+  /// gives one load its full bandwidth, four loads of 13 s all take 53 s, and the most urgent one
+  /// finishes no sooner than the least urgent.
   static constexpr double kMaxInitialLimit = 4;
-  static constexpr std::chrono::milliseconds kInitialTotalLoadTime{
-      12'000};  ///< Sum of their times.
-  /// How long a slowed load keeps the limit from being tried again.
+  /// Total duration of the loads that begin before any load has been timed.
+  static constexpr std::chrono::milliseconds kInitialTotalLoadTime{12'000};
+  /// How long after a slowed load the limit is not raised.
   static constexpr std::chrono::seconds kRaiseHoldoff{60};
 
   static bool IsSlowed(std::chrono::milliseconds expected, std::chrono::milliseconds elapsed) {
--- a/src/fleet/order_history.cc
+++ b/src/fleet/order_history.cc
@@ -9,9 +9,10 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/// For an order that was given up and is still on its way.
+/// Allowance for an abandoned order that is still in flight.
 constexpr milliseconds kLateOrderMargin{300};
-/// An old token must not follow a new one, also from one machine.
+/// Wait after this machine's own earlier orders: an order with an older token must not arrive after
+/// one with a newer token, even from the same machine.
 constexpr milliseconds kOwnOrderWait{400};
 
 }  // namespace
--- a/src/fleet/order_history.h
+++ b/src/fleet/order_history.h
@@ -14,8 +14,8 @@
 
 namespace moorfold {
 
-/// In a released leader record: `holder`'s last order to a server ended `age_ms` before the
-/// writing.
+/// An entry of a released leader record: the last order of `holder` to the server ended `age_ms`
+/// before the record was written.
 struct RecentServerOrder {
   std::string server_id;
   std::string holder;
@@ -27,13 +27,15 @@
   }
 };
 
-/// What a leader that gives leadership up leaves to the next one. Times are relative to the
-/// writing, since machines share no clock.
+/// The order history that a leader writes into its record when it releases leadership, for the next
+/// leader. Times are relative to the moment of writing, since machines share no clock.
 struct OrderHistoryRecord {
-  /// For how long no server may be ordered at all: the leader was itself still waiting.
+  /// Time during which no server may receive any order, because the leader's own initial wait was
+  /// not over.
   std::int64_t quiet_ms = 0;
   std::vector<RecentServerOrder> servers;
-  /// For how long each load from the weight store still counts against the bound on loads.
+  /// For each recent load from the weight store, how long it still counts against the limit on
+  /// loads.
   std::vector<std::int64_t> load_remaining_ms;
 
   template <typename Archive>
@@ -42,34 +44,36 @@
   }
 };
 
-/// Which servers got orders lately and from whom, so that a leader that takes over knowingly keeps
-/// away only from those. Pure; one thread; times are of this machine's steady clock.
+/// Tracks which servers recently received orders and from which machine, so that a leader that
+/// inherits this history has to avoid only those servers. Pure; single-threaded; times are of this
+/// machine's steady clock.
 class OrderHistory {
  public:
   using Time = BootClock::time_point;
   using Milliseconds = std::chrono::milliseconds;
 
-  /// @param holder this machine's name in orders.
-  /// @param order_separation how long orders of two machines to one server must lie apart.
-  /// @param load_window of the bound on loads from the weight store.
+  /// @param holder Name of this machine, as its orders carry it.
+  /// @param order_separation Minimum time between orders of two machines to one server.
+  /// @param load_window Length of the window of the limit on loads from the weight store.
   OrderHistory(std::string holder, Milliseconds order_separation, Milliseconds load_window);
 
-  /// A term begins after a wait that covers every order before it.
+  /// Begins a term without inherited orders. The caller waits for every earlier order instead.
   void Reset();
-  /// A term begins on what the leader before has left.
-  /// @param record_seen_at when this machine first saw the record; it was written no later.
+  /// Begins a term with the history that the previous leader wrote.
+  /// @param record_seen_at When this machine first saw the record, which was written no later than
+  /// that.
   void Inherit(const OrderHistoryRecord& record, Time record_seen_at);
 
-  /// An order to the server has been answered or given up.
+  /// Records that an order to the server was answered or abandoned.
   void NoteOrder(const std::string& server_id, Time now) {
     Time& last = last_order_at_[server_id];
     last = std::max(last, now);
   }
-  /// @return when orders of others can no longer lie too close to one that is sent then.
+  /// @return the earliest time at which an order to the server is far enough from inherited orders.
   Time SafeToOrderFrom(const std::string& server_id) const;
-  /// @return whether nothing that was inherited matters any more.
+  /// @return whether no inherited order restricts new orders any more.
   bool InheritedOrdersExpired(Time now) const;
-  /// @param order_from when this leader may, or might have, begun to order at all.
+  /// @param order_from When this leader may start to send orders, or could have started.
   OrderHistoryRecord ToRecord(Time now, Time order_from) const;
 
   LoadRateLimiter& loads() { return loads_; }
--- a/src/fleet/peer_list.h
+++ b/src/fleet/peer_list.h
@@ -10,8 +10,8 @@
 
 namespace moorfold {
 
-/// Addresses of other daemons that this one has lately heard of: from a leader's answers, or since
-/// they sent something. Bounded; one thread.
+/// Addresses of other daemons that this one has recently learned of, from a leader's answers or
+/// from messages that they sent. Bounded; single-threaded.
 class PeerList {
  public:
   using Time = BootClock::time_point;
@@ -24,7 +24,7 @@
       if (peer->second < oldest->second) oldest = peer;
     peers_.erase(oldest);
   }
-  /// @return those heard of within the last minutes.
+  /// @return the addresses heard of within kPeerLifetime.
   std::vector<std::string> Addresses(Time now) const {
     std::vector<std::string> addresses;
     for (const auto& [address, heard_at] : peers_)
@@ -33,7 +33,8 @@
   }
 
  private:
-  /// Several times as many as one message goes to, so that each goes to others.
+  /// Several times the number of recipients of one message, so that each message can go to
+  /// different peers.
   static constexpr std::size_t kMaxPeers = 64;
   static constexpr std::chrono::minutes kPeerLifetime{5};
 
--- a/src/fleet/published_record.h
+++ b/src/fleet/published_record.h
@@ -11,30 +11,30 @@
 
 namespace moorfold {
 
-/// The store's entry of something that the leader tells all daemons: one that starts while nobody
-/// leads knows it by this. The leader writes it when it changes, and no more than once a second.
-/// One thread.
+/// A store entry that publishes to all daemons what the leader decided. A daemon that starts while
+/// there is no leader learns it from this entry. The leader writes the entry when the content
+/// changes, at most once a second. Single-threaded.
 template <typename Content>
 class PublishedRecord {
  public:
-  /// @param write_failed_event the event of a write that failed.
+  /// @param write_failed_event Event that is logged when a write fails.
   PublishedRecord(KeyValueStore& store, EventLog& log, std::string key, LogEvent write_failed_event)
       : store_(store), log_(log), key_(std::move(key)), write_failed_event_(write_failed_event) {}
 
-  /// @return the key in the store.
   const std::string& key() const { return key_; }
-  /// The store shows the entry so, or none.
-  /// @throws std::runtime_error when the entry is no such record.
+  /// Handles a state of the entry as the store reports it; nothing if the entry does not exist.
+  /// @throws std::runtime_error if the entry cannot be decoded.
   void Seen(const std::optional<KeyValue>& entry, StoreRevision revision) {
     const bool later_era = revision.era > seen_era_;
     seen_era_ = std::max(seen_era_, revision.era);
     if (!later_era) return;
-    // A copy: what this daemon wrote may be gone or older there.
+    // The store was restored from an older copy, which may lack this daemon's last write.
     last_written_ = {};
     if (entry) last_written_ = DecodeMessage<Content>(entry->value);
   }
-  /// Writes `wanted` where that is not what this daemon wrote last, or what a store that
-  /// came back from a copy shows. @pre this daemon leads.
+  /// Writes `content` unless it equals this daemon's last write, or the entry found in the store
+  /// after a restore from an older copy.
+  /// @pre This daemon is the leader.
   void Write(const Content& content) {
     if (write_in_progress_ || content == last_written_ || BootClock::now() < next_write_at_) return;
     Transaction transaction;
@@ -46,7 +46,7 @@
   }
 
  private:
-  /// Between two writes; also after one that failed.
+  /// Minimum time between two writes, also after a failed write.
   static constexpr std::chrono::milliseconds kMinWriteInterval{1'000};
 
   void EndWrite(const Content& content, const Outcome<TransactionResult>& result) {
@@ -66,7 +66,7 @@
   std::string key_;
   LogEvent write_failed_event_;
   Content last_written_;
-  std::int64_t seen_era_ = kEraUntold;  ///< Of the store when it last showed the entry.
+  std::int64_t seen_era_ = kEraUntold;  ///< Store era in which the entry was last reported.
   bool write_in_progress_ = false;
   BootClock::time_point next_write_at_{};
 };
--- a/src/fleet/server_advisory.h
+++ b/src/fleet/server_advisory.h
@@ -7,34 +7,37 @@
 
 namespace moorfold {
 
-/// What a server says of itself beside one answer.
+/// What a server advises daemons in the headers of one response.
 struct ServerAdvisory {
-  bool leaving = false;  ///< It is about to end.
-  /// Requests a second that it takes from all daemons together; nothing: it names no limit.
+  bool leaving = false;  ///< The server is about to stop.
+  /// Requests a second that the server accepts from all daemons together; empty if the response
+  /// names no limit.
   std::optional<double> limit_per_second;
-  /// It turned the request away and wants no other of this daemon for so long; 0: it names no time.
+  /// The server rejected the request and asks this daemon to send no other for this long; 0 if it
+  /// names no duration.
   std::chrono::milliseconds pause{0};
 };
 
-/// What a server has said of itself so far, in one life. Entries of the store know none of it, so
-/// no entry that is read anew takes it back. Pure.
+/// Advisories that a server process has sent so far, merged. Entries of the store carry none of
+/// them, so reading an entry again does not reset them. Pure.
 struct ServerAdvisoryState {
   using Time = BootClock::time_point;
 
-  bool leaving = false;                    ///< For the rest of its life.
-  std::optional<double> limit_per_second;  ///< In force until an answer names it no more.
-  Time limit_received_at{};                ///< When an answer last named it.
-  /// When the request was sent whose answer showed `limit_per_second` as it is: the server said so
-  /// no earlier.
+  bool leaving = false;                    ///< Stays set until the server process ends.
+  std::optional<double> limit_per_second;  ///< In force until a response omits it.
+  Time limit_received_at{};                ///< When a response last named it.
+  /// Send time of the request whose response last set or cleared `limit_per_second`. The server
+  /// stated the limit no earlier than that.
   Time limit_requested_at{};
   Time paused_until{};
 
-  /// Takes over what an answer says.
-  /// @param sent_at when its request was sent. An answer without a limit ends one only if its
-  /// request was sent after the limit was heard: answers on different connections may pass each
-  /// other.
-  /// @param from_run whether the server ran the request. Only then does a missing limit mean none.
-  /// @return whether anything is new.
+  /// Merges the advisory of one response.
+  /// @param sent_at Send time of the request. A response without a limit clears the limit only if
+  /// its request was sent after the limit was received, since responses on different connections
+  /// can overtake each other.
+  /// @param from_run Whether the server executed the request. Only then does a missing limit mean
+  /// that there is none.
+  /// @return whether the state changed.
   bool Take(const ServerAdvisory& statement, Time sent_at, Time now, bool from_run);
 };
 
--- a/src/fleet/server_record.h
+++ b/src/fleet/server_record.h
@@ -8,7 +8,7 @@
 
 namespace moorfold {
 
-/// A model on a server, with the adapters that stand beside it.
+/// A model on a server, with the adapters loaded on top of it.
 struct LoadedModel {
   std::string name;
   std::vector<std::string> adapters;
@@ -21,8 +21,9 @@
   bool operator==(const LoadedModel&) const = default;
 };
 
-/// What a server says of itself in the store. A server that starts again may do so under the id
-/// that it had: then it holds nothing and its counts begin anew, and only its life tells.
+/// A server's own description of itself in the store. A restarted server may use the same id again.
+/// It has then loaded nothing and counts orders from zero, and only `life` distinguishes it from
+/// the process before.
 struct ServerRecord {
   std::string id;
   std::string service;
@@ -32,23 +33,25 @@
   std::uint32_t slots = 1;
   bool draining = false;
   std::vector<LoadedModel> models;
-  std::vector<std::string> in_memory;  ///< Models whose weights lie in host memory.
-  std::vector<std::string> on_disk;    ///< Models whose weights lie on the server's disk.
-  std::int64_t life = 0;  ///< When it started, in milliseconds of some clock; 0: it does not say.
+  std::vector<std::string> in_memory;  ///< Models whose weights are in host memory.
+  std::vector<std::string> on_disk;    ///< Models whose weights are on the server's disk.
+  std::int64_t life = 0;  ///< Start time that identifies the server process, in milliseconds of an
+                          ///< unspecified clock; 0: unknown.
 };
 
-/// What a server answers when asked for its state; some hundred milliseconds old.
+/// A server's answer to a status request; some hundred milliseconds old.
 struct ServerStatus {
   std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
-  bool busy = false;  ///< An order is under way.
+  bool busy = false;  ///< An order is in progress.
   std::int64_t order_count = 0;
-  std::vector<LoadedModel> incoming;  ///< Adapters on their way.
-  std::int64_t life = 0;              ///< As in its record.
+  std::vector<LoadedModel> incoming;  ///< Adapters that are being loaded.
+  std::int64_t life = 0;              ///< As in ServerRecord.
 };
 
-/// @return whether `life` began after `before`; a life that is not told is no other.
+/// @return whether `life` belongs to a later start of the server than `before`; an unknown start
+/// time (0) never does.
 constexpr bool IsLaterIncarnation(std::int64_t life, std::int64_t before) {
   return life != 0 && before != 0 && life > before;
 }
@@ -59,21 +62,21 @@
 struct ServerOrder {
   ServerOrderKind kind = ServerOrderKind::kLoad;
   std::string model;
-  std::string adapter;             ///< Empty: the model itself.
-  std::string server_id;           ///< The incarnation it is meant for.
-  std::int64_t order_count = 0;    ///< Carried out only if the server has taken so many.
-  std::string holder;              ///< The machine that gives it.
+  std::string adapter;    ///< Empty if the order is for the model itself.
+  std::string server_id;  ///< The incarnation that the order is for.
+  /// Number of accepted orders that the server must have counted to execute this one.
+  std::int64_t order_count = 0;
+  std::string holder;              ///< Name of the machine that sends the order.
   std::int64_t fencing_token = 0;  ///< Rises with every change of leader.
 };
 
-/// How a server answered an order.
 enum class ServerOrderOutcome : std::uint8_t {
   kInProgress,
   kAlreadyDone,
-  kConflict,          ///< Another is under way, or the order count does not match.
-  kOtherIncarnation,  ///< Another incarnation has the address.
-  kRejected,          ///< No such order.
-  kNoAnswer           ///< It may have been taken, and may be carried out later.
+  kConflict,          ///< Another order is in progress, or the order count does not match.
+  kOtherIncarnation,  ///< Another incarnation of the server uses the address.
+  kRejected,          ///< The server does not know such an order.
+  kNoAnswer           ///< The order may have been accepted, and may be executed later.
 };
 
 }  // namespace moorfold
--- a/test/fleet/candidate.h
+++ b/test/fleet/candidate.h
@@ -14,7 +14,7 @@
 
 constexpr const char* kLeaderKey = "moorfold/leader";
 
-/// One candidate with its own connection to a shared store.
+/// A candidate with its own connection to the shared store.
 struct Candidate {
   Candidate(boost::asio::io_context& context, KeyValueTable& table, const std::string& name,
             std::chrono::milliseconds handover = std::chrono::milliseconds(60),
@@ -44,7 +44,7 @@
   std::unique_ptr<WatchHandle> watch;
 };
 
-/// Runs until `done`, letting changes reach all candidates.
+/// Runs the event loop and delivers store changes to the candidates until `done` or a timeout.
 inline bool RunUntil(boost::asio::io_context& context, std::vector<Candidate*> candidates,
                      const std::function<bool()>& done,
                      std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000)) {
--- a/test/fleet/leader_election_test.cc
+++ b/test/fleet/leader_election_test.cc
@@ -15,7 +15,7 @@
 
 constexpr const char* kKey = kLeaderKey;
 
-TEST_CASE("One of two candidates leads, and the other after it resigned") {
+TEST_CASE("One of two candidates leads, and the other one leads after the first has resigned") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -34,7 +34,8 @@
   CHECK(second.election.fencing_token() > token);
 }
 
-TEST_CASE("A new leader keeps away from the servers that the one before ordered, no others") {
+TEST_CASE(
+    "A new leader avoids the servers that the previous leader sent orders to, and no others") {
   boost::asio::io_context context;
   KeyValueTable table;
   const milliseconds apart(600'000);
@@ -53,7 +54,7 @@
   CHECK(two.election.loads().AvailableLoads(1, BootClock::now()) == 1);
 }
 
-TEST_CASE("A leader that cannot release its key leaves it to its lease") {
+TEST_CASE("A leader that cannot release its key leaves it attached to its lease") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -66,11 +67,11 @@
   RunUntil(
       context, {}, [] { return false; }, milliseconds(100));
   const RangeResult key = table.Range({kKey, ""});
-  REQUIRE(key.entries.size() == 1);  // Nobody may find it gone before its time.
+  REQUIRE(key.entries.size() == 1);  // The key must not disappear before its lease would lapse.
   CHECK_FALSE(DecodeMessage<LeaderRecord>(key.entries.front().value).released);
 }
 
-TEST_CASE("Whoever is offered leadership looks at once and leads") {
+TEST_CASE("A daemon that is offered leadership reads the key at once and becomes leader") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -80,7 +81,7 @@
   bool resigned = false;
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one}, [&] { return resigned; }));
-  two.election.ReadLeaderKeyNow(true);  // Its watch has said nothing.
+  two.election.ReadLeaderKeyNow(true);  // Its watch has not reported the release.
   CHECK(RunUntil(context, {}, [&] { return two.election.MayOrder(); }));
 }
 
@@ -92,12 +93,12 @@
   Candidate two(context, table, "two");
   REQUIRE(RunUntil(context, {one.get(), &two}, [&] { return two.election.leader().has_value(); }));
   two.election.NoteLeaderHeard(2);
-  one->store.unreachable = true;  // As if it were killed.
-  // Without a watch: only reading shows that the key has gone.
+  one->store.unreachable = true;  // Simulates a killed process.
+  // No watch events are delivered, so only a read shows that the key is gone.
   CHECK(RunUntil(context, {}, [&] { return two.election.leading(); }));
 }
 
-TEST_CASE("A claim is dropped when another won while its lease was being granted") {
+TEST_CASE("A claim is dropped when another machine won while its lease was being granted") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -115,7 +116,7 @@
   CHECK(one.election.fencing_token() == token);
 }
 
-TEST_CASE("A leader whose renewal failed goes on when its key is untouched") {
+TEST_CASE("A leader whose renewal failed keeps leading when its key is still on its lease") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -124,7 +125,7 @@
   one.store.unreachable = true;
   REQUIRE(RunUntil(context, {}, [&] { return !one.election.MayOrder(); }));
   one.store.unreachable = false;
-  // A write of its own that was carried out late leaves the key at a revision it does not know.
+  // A late write of its own leaves the key at a revision that the leader does not know.
   Transaction late;
   KeyValue key = table.Range({kKey, ""}).entries.front();
   late.operations.emplace_back(PutOperation{kKey, key.value, key.lease});
@@ -145,7 +146,7 @@
 }
 
 TEST_CASE(
-    "A key that was taken away while the store did not answer ends leadership before an order") {
+    "A leader whose key was taken while the store was unreachable stops before it sends an order") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -153,7 +154,7 @@
   const std::int64_t token = one.election.fencing_token();
   one.store.unreachable = true;
   REQUIRE(RunUntil(context, {&one}, [&] { return !one.election.MayOrder(); }));
-  Transaction taken;  // The lease still stands; the key is another's now.
+  Transaction taken;  // The lease still exists, but another machine has taken the key.
   taken.operations.emplace_back(
       PutOperation{kKey, EncodeMessage(LeaderRecord{"two", "127.0.0.1:2", true, false, {}}), {}});
   table.Transact(taken);
@@ -163,7 +164,7 @@
   CHECK_FALSE((one.election.MayOrder() && one.election.fencing_token() == token));
 }
 
-TEST_CASE("A claim whose answer was lost is recognised by its lease") {
+TEST_CASE("A claim whose answer was lost is recognized by its lease") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -175,17 +176,17 @@
   }));
 }
 
-TEST_CASE("A key that was seen some time ago is read again before it is claimed") {
-  // 295 daemons that started together sent 590 claims in three seconds: each knew the key only from
-  // its listing.
+TEST_CASE("A key state that is not recent is read again before a claim") {
+  // Guards against a burst of claims when a fleet starts: 295 daemons that started together sent
+  // 590 claims in three seconds, because each knew the key only from its first listing.
   boost::asio::io_context context;
   KeyValueTable table;
-  // It has seen that there is no leader, and would claim the key 0.6 s later.
+  // This candidate has seen that there is no leader and would claim the key 0.6 s later.
   Candidate two(context, table, "two", milliseconds(60), milliseconds(600));
-  two.store.hold_grants = true;  // A claim begins with a lease.
+  two.store.hold_grants = true;  // A claim begins with the grant of a lease.
   Candidate one(context, table, "one");
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.leading(); }));
-  // Its watch shows nothing.
+  // No watch event reaches the second candidate.
   RunUntil(
       context, {&one}, [] { return false; }, milliseconds(1'500));
   CHECK(two.store.held_grants() == 0);
@@ -193,7 +194,7 @@
   CHECK(two.election.leader()->name == "one");
 }
 
-TEST_CASE("A restarted leader takes its own key over, with a higher token and a short wait") {
+TEST_CASE("A restarted leader claims its own key again with a higher token and a short wait") {
   boost::asio::io_context context;
   KeyValueTable table;
   std::int64_t token = 0;
@@ -213,23 +214,23 @@
 }
 
 TEST_CASE(
-    "A leader that lost its lease in an outage goes on without the wait, if none can have "
-    "ordered") {
+    "A leader that lost its lease in an outage resumes without the wait if no other machine can "
+    "have sent orders") {
   const OrderWindow::Time start{std::chrono::seconds(1000)};
   OrderWindow window(milliseconds(2'000));
-  CHECK_FALSE(window.ContinuesOwnTerm(start, milliseconds(3'000)));  // It never led.
+  CHECK_FALSE(window.ContinuesOwnTerm(start, milliseconds(3'000)));  // This machine has never led.
   window.Win(start, start);
   window.Renew(start + milliseconds(500));
   window.Lose();
-  // Another could win 2 s after the last renewal was sent, and order 3 s later.
+  // Another machine could win 2 s after the last renewal was sent and send orders 3 s later.
   CHECK(window.ContinuesOwnTerm(start + milliseconds(5'200), milliseconds(3'000)));
   CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(5'400), milliseconds(3'000)));
   CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(60'000), milliseconds(3'000)));
-  window.NoteOtherLeader();  // Another has held the key between.
+  window.NoteOtherLeader();  // Another machine has held the key in between.
   CHECK_FALSE(window.ContinuesOwnTerm(start + milliseconds(1'000), milliseconds(3'000)));
 }
 
-TEST_CASE("A leader record that cannot be read is skipped") {
+TEST_CASE("A leader record that cannot be decoded is skipped") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
@@ -239,7 +240,7 @@
 }
 
 TEST_CASE(
-    "What another writer left in the leader's place, on no lease, keeps nobody from leading") {
+    "An undecodable value without a lease under the leader key does not prevent an election") {
   boost::asio::io_context context;
   KeyValueTable table;
   Transaction foreign;
@@ -252,7 +253,7 @@
   CHECK_FALSE((one.election.leading() && two.election.leading()));
 }
 
-TEST_CASE("The order window closes by the time of sending, not of the answer") {
+TEST_CASE("The order window ends relative to the send time of a renewal, not to its answer") {
   rc::check([] {
     const auto start = BootClock::time_point(std::chrono::seconds(1000));
     OrderWindow window(milliseconds(2'000));
@@ -276,18 +277,20 @@
   });
 }
 
-TEST_CASE("A leader that wakes after its lease has lapsed gives no order, and knows that it lost") {
+TEST_CASE("A leader that resumes after its lease lapsed sends no order and loses leadership") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   ClockJump jump;
   CHECK(one.election.MayOrder());
-  jump.Sleep(milliseconds(1'400));  // Shorter than the lease: half of it is for orders under way.
+  jump.Sleep(milliseconds(
+      1'400));  // Shorter than the lease, half of which is reserved for orders in flight.
   CHECK_FALSE(one.election.MayOrder());
   jump.Sleep(milliseconds(10'000));
-  CHECK_FALSE(one.election.MayOrder());                            // Before its timers have run.
-  table.RevokeLease(table.Range({kKey, ""}).entries.at(0).lease);  // As the store has meanwhile.
+  CHECK_FALSE(one.election.MayOrder());  // Before its timers have run.
+  table.RevokeLease(
+      table.Range({kKey, ""}).entries.at(0).lease);  // The store has revoked it meanwhile.
   REQUIRE(RunUntil(context, {&one}, [&] { return !one.election.leading(); }));
 }
 
--- a/test/fleet/leadership_over_eras_test.cc
+++ b/test/fleet/leadership_over_eras_test.cc
@@ -1,5 +1,6 @@
-// The store comes back from an older copy: the leader key, its lease and the revisions of both are
-// gone or what they were, and their numbers are given out again. Nobody may lead by what was.
+// Leader election when the store is restored from an older copy. The leader key, its lease and
+// their revisions are gone or outdated, and the store issues the same numbers again. No machine may
+// lead on the basis of the state before the restore.
 
 #include <catch2/catch.hpp>
 
@@ -11,10 +12,10 @@
 
 using std::chrono::milliseconds;
 
-/// Half of the candidates' lease, the longest order, the distance of orders.
+/// Half of the candidates' lease, the longest order and the separation between orders.
 constexpr milliseconds kOrdersEndAfterRestore{750 + 600 + 60};
 
-/// What a candidate's view of the store tells it after a listing.
+/// Delivers the current state of the leader key to the candidate, as a listing of the store does.
 void DeliverListing(Candidate& candidate, KeyValueTable& table) {
   const RangeResult read = table.Range({kLeaderKey, ""});
   if (read.entries.empty())
@@ -29,9 +30,9 @@
   for (int change = 0; change < changes; ++change) table.Transact(transaction);
 }
 
-TEST_CASE("Tokens rise with the returns of the store and with revisions, and stay exact numbers") {
+TEST_CASE("Tokens rise with restores of the store and with revisions, and stay exact as doubles") {
   CHECK(FencingToken({kEraUntold, 7}) == 7);
-  CHECK(FencingToken({0, 244}) == 244);  // As builds that know no eras make them.
+  CHECK(FencingToken({0, 244}) == 244);  // The same token as in builds without store eras.
   CHECK(FencingToken({1, 1}) > FencingToken({0, 1'000'000'000}));
   CHECK(FencingToken({2, 2}) > FencingToken({2, 1}));
   CHECK(FencingToken({3, 1}) > FencingToken({2, kTokensPerEra * 5}));
@@ -39,12 +40,12 @@
   CHECK(static_cast<std::int64_t>(static_cast<double>(kMaxFencingToken)) == kMaxFencingToken);
 }
 
-TEST_CASE("A leader stops at the first sign of a later era, whatever its lease says") {
+TEST_CASE("A leader stops at the first sign of a later era, even if its lease seems valid") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
-  const KeyValueTable copy = table;  // The key and the lease stand in it.
+  const KeyValueTable copy = table;  // Contains the key and the lease.
   Write(table, 20);
   table.RestoreFrom(copy);
   const std::int64_t token = one.election.fencing_token();
@@ -53,10 +54,10 @@
   REQUIRE(RunUntil(context, {}, [&] { return answered; }));
   CHECK_FALSE((one.election.MayOrder() && one.election.fencing_token() == token));
   REQUIRE(RunUntil(context, {}, [&] { return one.election.MayOrder(); }));
-  CHECK(one.election.fencing_token() > token);  // Though the revisions went back.
+  CHECK(one.election.fencing_token() > token);  // Although the store issues lower revisions.
 }
 
-TEST_CASE("A lease of an earlier era is not renewed on the number that another now holds") {
+TEST_CASE("A lease of an earlier era is not renewed when its number now belongs to another lease") {
   boost::asio::io_context context;
   KeyValueTable table;
   const KeyValueTable empty = table;
@@ -78,7 +79,7 @@
       context, {}, [&] { return one.election.MayOrder(); }, milliseconds(1'000)));
 }
 
-TEST_CASE("A new leader of a later era waits until the orders of the one before are over") {
+TEST_CASE("A new leader of a later era waits until the previous leader's orders have ended") {
   boost::asio::io_context context;
   KeyValueTable table;
   const KeyValueTable empty = table;
@@ -86,19 +87,19 @@
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   Candidate two(context, table, "two");
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.leader().has_value(); }));
-  one.store.unreachable = true;  // Cut off: it leads on until half of its lease is over.
+  one.store.unreachable = true;  // Partitioned: it leads until half of its lease is over.
   table.RestoreFrom(empty);
   const auto back = BootClock::now();
   DeliverListing(two, table);
   REQUIRE(RunUntil(context, {}, [&] { return two.election.leading(); }));
-  CHECK(BootClock::now() - back < kOrdersEndAfterRestore);  // The key is there to be had at once.
+  CHECK(BootClock::now() - back < kOrdersEndAfterRestore);  // The key is free at once.
   REQUIRE(RunUntil(context, {}, [&] { return two.election.MayOrder(); }));
   CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
   CHECK_FALSE(one.election.MayOrder());
   CHECK(two.election.fencing_token() > one.election.fencing_token());
 }
 
-TEST_CASE("A copy's record of one's own lead is not taken for what was ordered last") {
+TEST_CASE("A restarted leader does not trust its own settled record from a restored copy") {
   boost::asio::io_context context;
   KeyValueTable table;
   auto one = std::make_unique<Candidate>(context, table, "one");
@@ -111,18 +112,20 @@
   bool resigned = false;
   one->election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {one.get(), &two}, [&] { return two.election.MayOrder(); }));
-  two.election.NoteOrder("i-1");  // It orders, and is cut off as the store goes back.
+  two.election.NoteOrder(
+      "i-1");  // It sends an order and is partitioned when the store is restored.
   two.store.unreachable = true;
   table.RestoreFrom(copy);
   const auto back = BootClock::now();
-  Candidate again(context, table, "one");  // "one" has started again, and sees its own record.
+  Candidate again(context, table, "one");  // "one" restarts and sees its own old record.
   DeliverListing(again, table);
   REQUIRE(RunUntil(context, {}, [&] { return again.election.MayOrder(); }));
   CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
   CHECK_FALSE(again.election.load_history_known());
 }
 
-TEST_CASE("What a leader of the same era hands on is taken over without that wait") {
+TEST_CASE(
+    "A history handed over within the same era is inherited without the wait after a restore") {
   boost::asio::io_context context;
   KeyValueTable table;
   table.RestoreFrom(KeyValueTable{});
@@ -141,12 +144,14 @@
   CHECK(two.election.load_history_known());
 }
 
-TEST_CASE("A leader that resigns while it settles hands on what it ordered") {
+TEST_CASE(
+    "A leader that resigns while its settled record is being written still hands over its "
+    "history") {
   boost::asio::io_context context;
   KeyValueTable table;
   table.RestoreFrom(KeyValueTable{});
   Candidate one(context, table, "one");
-  // The store has taken the settled record; its answer is still on its way.
+  // The store has accepted the settled record, but its answer is still in flight.
   REQUIRE(RunUntil(context, {&one}, [&] {
     const RangeResult read = table.Range({kLeaderKey, ""});
     return !read.entries.empty() && DecodeMessage<LeaderRecord>(read.entries.front().value).settled;
@@ -159,7 +164,9 @@
   CHECK(DecodeMessage<LeaderRecord>(left.entries.front().value).released);
 }
 
-TEST_CASE("A leader that resigns after its key went to another leaves the other's record") {
+TEST_CASE(
+    "A leader that resigns after another machine took the key leaves that machine's record "
+    "intact") {
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -1,7 +1,8 @@
-// Every interleaving of a small world: three machines that lead in turn, leases that lapse,
-// renewals whose answers are lost, orders under way, planned stops, restarts, a store that comes
-// back from an older copy. The shipped OrderWindow, OrderHistory, StoreRestoreWait and FencingToken
-// decide; each rule is also left out in turn, and harm is found.
+// Explores every interleaving of a small model: three machines that lead in turn, leases that
+// lapse, renewals whose answers are lost, orders in flight, planned stops, restarts, and a store
+// that is restored from an older copy. The production classes OrderWindow, OrderHistory,
+// StoreRestoreWait and FencingToken decide. Each safety rule is also left out in turn, and the
+// model must then find a violation.
 
 #include <array>
 #include <catch2/catch.hpp>
@@ -18,7 +19,7 @@
 
 constexpr milliseconds kLease{3'000};
 constexpr milliseconds kOrderSeparation{3'000};
-constexpr milliseconds kWaitAfterOtherLeader{2'400};  // Apart + 600 + 300 - half of the lease.
+constexpr milliseconds kWaitAfterOtherLeader{2'400};  // Separation + 600 + 300 - half of the lease.
 constexpr milliseconds kOwnHandoverWait{400};
 constexpr const char* kServer = "i-1";
 constexpr std::array<milliseconds, 4> kTimeSteps = {milliseconds(0), milliseconds(600),
@@ -26,32 +27,38 @@
 constexpr int kMachines = 3;
 constexpr int kSteps = 5;
 
-/// The rules that keep orders apart; one of them is left out to show that it is needed.
+/// The rules that keep orders of different machines apart. The tests leave out one at a time to
+/// show that each is needed.
 struct Rules {
   bool stop_at_half_lease = true;
   bool bound_orders = true;
-  bool wait_after_win = true;  ///< Where the leader before left nothing.
-  bool avoid_recently_ordered_servers =
-      true;                          ///< From servers that the leader before left as ordered.
-  bool release_after_orders = true;  ///< Leadership is given up only when no order is under way.
-  bool revoke_only_released_leases = true;  ///< Else the key is gone before its time.
-  bool wait_for_own_earlier_process =
-      true;                              ///< Others wait for what an earlier process here ordered.
-  bool hand_over_remaining_wait = true;  ///< A leader that still waits hands its wait on.
-  bool settle_after_expiry =
-      true;  ///< A restarted leader does without the wait only if all is past.
-  bool claim_on_decided_revision =
-      true;  ///< A claim is dropped when the key changed since it was decided.
-  bool wait_after_restore =
-      true;  ///< A leader of a later era waits out the orders of the one before.
-  bool renewals_check_era =
-      true;  ///< Else a renewal succeeds on a number that is another's by now.
-  bool ignore_records_of_past_eras =
-      true;                        ///< What a copy says of its leader is not taken for what is.
-  bool tokens_include_era = true;  ///< Else tokens are bare revisions, which are given out again.
+  /// When the previous leader left no order history.
+  bool wait_after_win = true;
+  /// Servers that the previous leader's record lists.
+  bool avoid_recently_ordered_servers = true;
+  /// Leadership is released only when no order is in flight.
+  bool release_after_orders = true;
+  /// Otherwise the key disappears before its lease would lapse.
+  bool revoke_only_released_leases = true;
+  /// The next leader waits for unknown orders of an earlier process.
+  bool wait_for_own_earlier_process = true;
+  /// A leader that is still waiting passes the rest of its wait on.
+  bool hand_over_remaining_wait = true;
+  /// A restarted leader skips the wait only if nothing inherited matters.
+  bool settle_after_expiry = true;
+  /// A claim is dropped if the key changed after the decision.
+  bool claim_on_decided_revision = true;
+  /// A leader of a later era waits for orders of the previous one.
+  bool wait_after_restore = true;
+  /// Otherwise a renewal succeeds on another machine's reused number.
+  bool renewals_check_era = true;
+  /// A restored record does not describe the current leader.
+  bool ignore_records_of_past_eras = true;
+  /// Otherwise tokens are bare revisions, which are issued again.
+  bool tokens_include_era = true;
 };
 
-/// A lease that was granted for a claim which the store carries out later, if at all.
+/// A lease granted for a claim that the store may carry out later.
 struct PendingClaim {
   Time granted{};
   LeadershipClaim claim{StoreRevision{}};
@@ -68,20 +75,21 @@
   Time others_may_order_from{};
   bool resigned = false;
   std::optional<PendingClaim> pending;
-  StoreRestoreWait era_wait{kLease / 2 + milliseconds(600) + kOrderSeparation + milliseconds(300)};
+  StoreRestoreWait restore_wait{kLease / 2 + milliseconds(600) + kOrderSeparation +
+                                milliseconds(300)};
   std::int64_t lease_era = 0;
 };
 
-/// The leader key as the store has it.
+/// The leader key as the store holds it.
 struct Key {
-  int owner = -1;  ///< -1: there is none.
+  int owner = -1;  ///< -1: the key does not exist.
   std::int64_t token = 0;
   Time lease_ends{};
   bool settled = false;
   std::optional<OrderHistoryRecord> released;
   Time written{};
-  StoreRevision revision;       ///< Of its newest change; number 0: there is none.
-  std::int64_t written_in = 0;  ///< The era in which its record was written.
+  StoreRevision revision;       ///< Of the newest change; number 0 if there is none.
+  std::int64_t written_in = 0;  ///< The era in which the record was written.
 };
 
 struct Arrival {
@@ -97,7 +105,7 @@
   std::int64_t era = 0;
   std::int64_t revision = 1;
   StoreRevision NextRevision() { return {era, ++revision}; }
-  std::vector<Key> copies;  ///< Of the key, of which one may come back, once.
+  std::vector<Key> copies;  ///< Copies of the key, of which one may be restored, once.
   std::vector<Arrival> arrivals;
 };
 
@@ -105,7 +113,7 @@
  public:
   explicit Explorer(Rules rules) : rules_(rules) {}
 
-  /// @return a harm, or nothing when no schedule of that many steps does any.
+  /// @return a violation, or nothing if no schedule of that many steps causes one.
   std::optional<std::string> Explore(const ModelState& state, int steps) {
     ++visited_;
     if (steps == 0) return violation_;
@@ -121,8 +129,8 @@
   }
   std::uint64_t visited() const { return visited_; }
 
-  /// "a" has led for long and handed its lead to "b", which has just ordered. Copies of all three
-  /// times may come back.
+  /// "a" has led for a long time and handed leadership over to "b", which has just sent an order.
+  /// Copies of the key from all three phases may be restored.
   ModelState StateAfterHandover() {
     ModelState state = StateAfterFirstOrder(milliseconds(0));
     state.key.settled = true;
@@ -143,14 +151,14 @@
     return state;
   }
 
-  /// The store has come back without the key while "b" led, who has not heard of it; "c" has won.
-  /// Where renewals succeed by number, those of "b" have gone on since.
+  /// The store was restored without the key while "b" led. "b" has not learned of it, and "c" has
+  /// won. If renewals only check the lease number, those of "b" have kept succeeding.
   ModelState StateWithUnawareLeader() {
     ModelState state = StateAfterHandover();
     state.copies.clear();
     ++state.era;
     state.key = Key{};
-    for (Machine& machine : state.machines) machine.era_wait.NoteEra(state.era, state.now);
+    for (Machine& machine : state.machines) machine.restore_wait.NoteEra(state.era, state.now);
     BeginTerm(state, 2);
     for (int renewal = 0; renewal < 3; ++renewal) {
       state.now += milliseconds(1'499);
@@ -161,8 +169,8 @@
     return state;
   }
 
-  /// "a" led and lost its key after its lease; "a" and "b" have both been granted leases to claim
-  /// it, and the claim of "a" is done.
+  /// "a" led and lost its key when its lease lapsed. "a" and "b" were both granted leases for a
+  /// claim, and the claim of "a" has been carried out.
   ModelState StateWithTwoCandidates() {
     ModelState state = StateAfterFirstOrder(milliseconds(0));
     state.now += kLease;
@@ -174,7 +182,7 @@
     return state;
   }
 
-  /// "a" leads for long, and has just sent an order that arrives after `delay`.
+  /// "a" has led for a long time and has just sent an order that arrives after `delay`.
   ModelState StateAfterFirstOrder(milliseconds delay) {
     ModelState state;
     Win(state, 0, state.now);
@@ -190,7 +198,7 @@
     return state.machines[static_cast<std::size_t>(index)];
   }
 
-  /// The key is as it was in a copy; its lease is there or not, and revisions are given out again.
+  /// Restores the key from a copy, with or without its lease. Revisions are issued again.
   void RestoreCopy(const ModelState& before, const Key& copy, int steps) {
     ModelState state = before;
     state.copies.clear();
@@ -199,7 +207,7 @@
     state.key = copy;
     if (copy.owner >= 0) state.key.revision.era = state.era;
     state.key.lease_ends = state.now + kLease;
-    for (Machine& machine : state.machines) machine.era_wait.NoteEra(state.era, state.now);
+    for (Machine& machine : state.machines) machine.restore_wait.NoteEra(state.era, state.now);
     Explore(state, steps);
   }
 
@@ -220,7 +228,7 @@
         Restart(state, index, steps);
         WriteSettledRecord(state, index, steps);
       }
-      // Machines that have not led are alike: one of them is enough.
+      // Machines that have not led are interchangeable, so one of them is enough.
       const bool fresh = machine.token == 0;
       if (MayClaim(state, index) && !(fresh && fresh_machine_claimed)) {
         fresh_machine_claimed = fresh_machine_claimed || fresh;
@@ -230,7 +238,7 @@
     }
   }
 
-  /// What the machine would see of the key now.
+  /// Returns the current key state as a machine would see it.
   static LeaderKeyState KeyStateOf(const ModelState& state) {
     if (state.key.owner < 0) return {std::nullopt, {state.era, 0}, false};
     LeaderRecord record;
@@ -245,11 +253,12 @@
     return LeadershipClaim(*condition);
   }
 
-  /// The lease that was asked for earlier has come, or the claim was on its way for long.
+  /// Carries out a claim after a delay: its lease was granted late, or the claim was in flight for
+  /// long.
   void ClaimLater(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     if (!machine.pending || machine.window.leading()) return;
-    if (before.now >= machine.pending->granted + kLease) return;  // No such lease.
+    if (before.now >= machine.pending->granted + kLease) return;  // The lease has lapsed.
     ModelState state = before;
     PendingClaim& pending = *At(state, index).pending;
     if (!rules_.claim_on_decided_revision)
@@ -293,7 +302,7 @@
     RecordArrival(state, {index, machine.token, arrives});
   }
 
-  /// The lease of a key that another has taken can be renewed as well as any.
+  /// The lease can still be renewed after another machine has taken the key.
   void Renew(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     if (rules_.renewals_check_era && machine.lease_era != before.era) return;
@@ -338,7 +347,7 @@
   void Restart(const ModelState& before, int index, int steps) {
     ModelState state = before;
     At(state, index) = Machine(index);
-    At(state, index).era_wait.NoteEra(state.era, state.now);
+    At(state, index).restore_wait.NoteEra(state.era, state.now);
     Explore(state, steps);
   }
 
@@ -373,14 +382,14 @@
     const bool record_is_current =
         !rules_.ignore_records_of_past_eras || state.key.written_in == state.era;
     const bool own = state.key.owner == index && !state.key.released;
-    if (record_is_current && state.key.owner >= 0) machine.era_wait.NoteRecord(RecordOf(state));
+    if (record_is_current && state.key.owner >= 0) machine.restore_wait.NoteRecord(RecordOf(state));
     const bool follows_own = !(record_is_current && state.key.released) &&
                              machine.window.ContinuesOwnTerm(state.now, kWaitAfterOtherLeader);
     const Time covered = state.now + kOrderSeparation + milliseconds(900);
     machine.others_may_order_from = own && rules_.wait_for_own_earlier_process ? covered : Time{};
     milliseconds wait = rules_.wait_after_win ? kWaitAfterOtherLeader : milliseconds(0);
-    if (record_is_current &&
-        state.key.released) {  // The earliest sight of the record is the most dangerous.
+    if (record_is_current && state.key.released) {
+      // Seeing the record at the earliest time is the worst case.
       machine.history.Inherit(*state.key.released, state.key.written);
       const Time quiet = state.key.written + milliseconds(state.key.released->quiet_ms);
       wait = std::chrono::ceil<milliseconds>(std::max(quiet, state.now) - state.now);
@@ -394,7 +403,7 @@
     }
     Time order_from = state.now + wait;
     if (rules_.wait_after_restore && !follows_own)
-      order_from = std::max(order_from, machine.era_wait.quiet_until());
+      order_from = std::max(order_from, machine.restore_wait.quiet_until());
     Win(state, index, order_from);
   }
 
@@ -425,7 +434,7 @@
     for (const Arrival& other : state.arrivals) {
       const auto apart = arrival.at > other.at ? arrival.at - other.at : other.at - arrival.at;
       if (other.sender != arrival.sender && apart < kOrderSeparation)
-        violation_ = "orders of two machines lie too close together";
+        violation_ = "orders of two machines are too close together";
       const Arrival& first = arrival.at < other.at ? arrival : other;
       const Arrival& second = arrival.at < other.at ? other : arrival;
       if (apart.count() > 0 && second.token < first.token)
@@ -445,7 +454,7 @@
   return explorer.Explore(explorer.StateAfterFirstOrder(delay), steps);
 }
 
-TEST_CASE("No schedule brings orders of two machines to one server too close together") {
+TEST_CASE("No schedule sends orders of two machines to one server too close together") {
   CHECK(ExploreFromFirstOrder({}, milliseconds(0)) == std::nullopt);
   CHECK(ExploreFromFirstOrder({}, milliseconds(600)) == std::nullopt);
 }
@@ -455,15 +464,16 @@
   return explorer.Explore(explorer.StateWithTwoCandidates(), steps);
 }
 
-TEST_CASE("No schedule does harm after two machines were granted leases for one claim each") {
+TEST_CASE(
+    "No schedule causes a violation after two machines were each granted a lease for a claim") {
   CHECK(ExploreTwoCandidates({}, kSteps) == std::nullopt);
 }
 
-TEST_CASE("A claim that is sent on a key which changed since it was decided does harm") {
+TEST_CASE("A claim on a key that changed after the decision causes a violation") {
   CHECK(ExploreTwoCandidates({.claim_on_decided_revision = false}, kSteps).has_value());
 }
 
-TEST_CASE("Without any one of the rules, some schedule does harm") {
+TEST_CASE("If any one rule is left out, some schedule causes a violation") {
   struct Case {
     const char* name;
     Rules rules;
@@ -473,19 +483,24 @@
   const milliseconds immediate(0);
   const milliseconds delayed(600);
   const std::vector<Case> cases = {
-      {"orders until the lease ends", {.stop_at_half_lease = false}, immediate},
+      {"orders sent until the lease lapses", {.stop_at_half_lease = false}, immediate},
       {"orders that take long", {.bound_orders = false}, milliseconds(5'000)},
-      {"no wait after a win", {.wait_after_win = false}, immediate},
-      {"servers left as ordered are not kept away from",
+      {"no wait after a won claim", {.wait_after_win = false}, immediate},
+      {"recently ordered servers are not avoided",
        {.avoid_recently_ordered_servers = false},
        immediate},
-      {"leadership released under an order", {.release_after_orders = false}, delayed, kSteps + 1},
-      {"a lease that is ended under its key", {.revoke_only_released_leases = false}, immediate},
+      {"leadership released while an order is in flight",
+       {.release_after_orders = false},
+       delayed,
+       kSteps + 1},
+      {"a lease revoked while its key is attached",
+       {.revoke_only_released_leases = false},
+       immediate},
       {"orders of an earlier process of this machine",
        {.wait_for_own_earlier_process = false},
        immediate},
-      {"a wait that is not handed on", {.hand_over_remaining_wait = false}, delayed},
-      {"settled while something inherited matters",
+      {"a remaining wait that is not handed over", {.hand_over_remaining_wait = false}, delayed},
+      {"settled while an inherited order still matters",
        {.settle_after_expiry = false},
        immediate,
        kSteps + 1},
@@ -506,12 +521,13 @@
   return explorer.Explore(explorer.StateWithUnawareLeader(), steps);
 }
 
-TEST_CASE("No schedule does harm where the store comes back from an older copy at any step") {
+TEST_CASE(
+    "No schedule causes a violation if the store is restored from an older copy at any step") {
   CHECK(ExploreRestores({}, 4) == std::nullopt);
   CHECK(ExploreUnawareLeader({}, 4) == std::nullopt);
 }
 
-TEST_CASE("Without any one of the rules for a store that comes back, some schedule does harm") {
+TEST_CASE("If any one rule for a restored store is left out, some schedule causes a violation") {
   CHECK(ExploreRestores({.wait_after_restore = false}, 4).has_value());
   CHECK(ExploreUnawareLeader({.renewals_check_era = false}, 4).has_value());
   CHECK(ExploreRestores({.ignore_records_of_past_eras = false}, 4).has_value());
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -16,12 +16,12 @@
 
 OrderHistory Make(const std::string& holder) { return {holder, kOrderSeparation, kLoadWindow}; }
 
-TEST_CASE("The next leader keeps away from ordered servers only, and only for as long as needed") {
+TEST_CASE("The next leader avoids recently ordered servers only, and only for as long as needed") {
   OrderHistory before = Make("a");
   before.NoteOrder("i-0", kStart - milliseconds(9'000));
   before.NoteOrder("i-1", kStart);
   before.NoteOrder("i-2", kStart + milliseconds(2'000));
-  before.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later one counts.
+  before.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later order counts.
   const OrderHistoryRecord record = before.ToRecord(kStart + milliseconds(2'000), kStart);
   CHECK(record.servers.size() == 2);
   CHECK(record.quiet_ms == 0);
@@ -29,14 +29,15 @@
   const Time seen = kStart + milliseconds(2'500);
   next.Inherit(record, seen);
   CHECK(next.SafeToOrderFrom("i-3") <= seen);
-  // 3,000 apart and 300 to spare; the order ended 2,000 before the record was written.
+  // The separation is 3,000 ms plus a margin of 300 ms; the order ended 2,000 ms before the record
+  // was written.
   CHECK(next.SafeToOrderFrom("i-1") == seen + milliseconds(1'300));
   CHECK(next.SafeToOrderFrom("i-2") == seen + milliseconds(3'300));
   CHECK_FALSE(next.InheritedOrdersExpired(seen + milliseconds(3'299)));
   CHECK(next.InheritedOrdersExpired(seen + milliseconds(3'300)));
 }
 
-TEST_CASE("A machine need not keep apart from its own earlier process, only outlast its orders") {
+TEST_CASE("A restarted machine waits only until the orders of its earlier process have ended") {
   OrderHistory before = Make("a");
   before.NoteOrder("i-1", kStart);
   OrderHistory again = Make("a");
@@ -44,7 +45,7 @@
   CHECK(again.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
-TEST_CASE("What a leader inherited, and its own wait, are handed on by it") {
+TEST_CASE("A leader hands over its inherited orders and its remaining wait") {
   OrderHistory first = Make("a");
   first.NoteOrder("i-1", kStart);
   OrderHistory second = Make("b");
@@ -62,7 +63,7 @@
   CHECK(second.InheritedOrdersExpired(kStart));
 }
 
-TEST_CASE("Loads of the leader before count against the bound on loads") {
+TEST_CASE("Loads of the previous leader count against the limit on loads") {
   OrderHistory before = Make("a");
   for (int load = 0; load < 6; ++load) before.loads().RecordLoad(kStart);
   before.loads().RecordUnansweredLoad(kStart);
@@ -84,7 +85,9 @@
   return report;
 }
 
-TEST_CASE("Leadership is offered to the daemon that was restarted last, if it is well") {
+TEST_CASE(
+    "Leadership is offered to the most recently restarted daemon that is neither starting nor "
+    "stopping") {
   FleetMembers members;
   CHECK_FALSE(members.ChooseSuccessor(kStart, false).has_value());
   members.Note(Report("old", 90'000), kStart);
@@ -97,7 +100,7 @@
 }
 
 TEST_CASE(
-    "Leadership goes to the youngest, and to a strong machine first where that is asked for") {
+    "The most recently restarted daemon succeeds, or a stronger machine where that is preferred") {
   FleetMembers members;
   DemandReport strong;
   strong.sender = "strong";
