--- a/test/fleet/leader_election_test.cc
+++ b/test/fleet/leader_election_test.cc
@@ -38,10 +38,10 @@
     "A new leader avoids the servers that the previous leader sent orders to, and no others") {
   boost::asio::io_context context;
   KeyValueTable table;
-  const milliseconds apart(600'000);
+  const milliseconds separation(600'000);
   Candidate one(context, table, "one", milliseconds(60));
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
-  Candidate two(context, table, "two", apart);
+  Candidate two(context, table, "two", separation);
   one.election.NoteOrder("i-1");
   for (int load = 0; load < 4; ++load) one.election.loads().RecordLoad(BootClock::now());
   bool resigned = false;
@@ -140,9 +140,9 @@
   Candidate one(context, table, "one");
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   one.store.unreachable = true;
-  const auto cut = BootClock::now();
+  const auto unreachable_since = BootClock::now();
   REQUIRE(RunUntil(context, {&one}, [&] { return !one.election.MayOrder(); }));
-  CHECK(BootClock::now() - cut < milliseconds(1'500));
+  CHECK(BootClock::now() - unreachable_since < milliseconds(1'500));
 }
 
 TEST_CASE(
@@ -207,9 +207,9 @@
     token = one.election.fencing_token();
     context.stop();
   }
-  boost::asio::io_context again;
-  Candidate one(again, table, "one", milliseconds(600'000));
-  REQUIRE(RunUntil(again, {&one}, [&] { return one.election.MayOrder(); }));
+  boost::asio::io_context new_context;
+  Candidate one(new_context, table, "one", milliseconds(600'000));
+  REQUIRE(RunUntil(new_context, {&one}, [&] { return one.election.MayOrder(); }));
   CHECK(one.election.fencing_token() > token);
 }
 
--- a/test/fleet/leadership_over_eras_test.cc
+++ b/test/fleet/leadership_over_eras_test.cc
@@ -89,12 +89,12 @@
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.leader().has_value(); }));
   one.store.unreachable = true;  // Partitioned: it leads until half of its lease is over.
   table.RestoreFrom(empty);
-  const auto back = BootClock::now();
+  const auto restored_at = BootClock::now();
   DeliverListing(two, table);
   REQUIRE(RunUntil(context, {}, [&] { return two.election.leading(); }));
-  CHECK(BootClock::now() - back < kOrdersEndAfterRestore);  // The key is free at once.
+  CHECK(BootClock::now() - restored_at < kOrdersEndAfterRestore);  // The key is free at once.
   REQUIRE(RunUntil(context, {}, [&] { return two.election.MayOrder(); }));
-  CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
+  CHECK(BootClock::now() - restored_at >= kOrdersEndAfterRestore);
   CHECK_FALSE(one.election.MayOrder());
   CHECK(two.election.fencing_token() > one.election.fencing_token());
 }
@@ -116,12 +116,12 @@
       "i-1");  // It sends an order and is partitioned when the store is restored.
   two.store.unreachable = true;
   table.RestoreFrom(copy);
-  const auto back = BootClock::now();
-  Candidate again(context, table, "one");  // "one" restarts and sees its own old record.
-  DeliverListing(again, table);
-  REQUIRE(RunUntil(context, {}, [&] { return again.election.MayOrder(); }));
-  CHECK(BootClock::now() - back >= kOrdersEndAfterRestore);
-  CHECK_FALSE(again.election.load_history_known());
+  const auto restored_at = BootClock::now();
+  Candidate restarted(context, table, "one");  // "one" restarts and sees its own old record.
+  DeliverListing(restarted, table);
+  REQUIRE(RunUntil(context, {}, [&] { return restarted.election.MayOrder(); }));
+  CHECK(BootClock::now() - restored_at >= kOrdersEndAfterRestore);
+  CHECK_FALSE(restarted.election.load_history_known());
 }
 
 TEST_CASE(
@@ -133,14 +133,14 @@
   REQUIRE(RunUntil(context, {&one}, [&] { return one.election.MayOrder(); }));
   Candidate two(context, table, "two");  // Sees the era for the first time now.
   DeliverListing(two, table);
-  const auto began = BootClock::now();
+  const auto started_at = BootClock::now();
   bool resigned = false;
   one.election.Resign([&] { resigned = true; });
   REQUIRE(RunUntil(context, {&one}, [&] { return resigned; }));
   DeliverListing(two, table);
   two.election.ReadLeaderKeyNow(true);
   REQUIRE(RunUntil(context, {&one, &two}, [&] { return two.election.MayOrder(); }));
-  CHECK(BootClock::now() - began < kOrdersEndAfterRestore);
+  CHECK(BootClock::now() - started_at < kOrdersEndAfterRestore);
   CHECK(two.election.load_history_known());
 }
 
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -71,7 +71,7 @@
   OrderWindow window{kLease};
   OrderHistory history;
   std::int64_t token = 0;
-  Time busy_until{};
+  Time orders_in_flight_until{};
   Time others_may_order_from{};
   bool resigned = false;
   std::optional<PendingClaim> pending;
@@ -117,10 +117,10 @@
   std::optional<std::string> Explore(const ModelState& state, int steps) {
     ++visited_;
     if (steps == 0) return violation_;
-    for (const milliseconds gap : kTimeSteps) {
+    for (const milliseconds time_step : kTimeSteps) {
       if (violation_) break;
       ModelState later = state;
-      later.now += gap;
+      later.now += time_step;
       if (later.key.owner >= 0 && !later.key.released && later.now >= later.key.lease_ends)
         later.key = Key{};
       Step(later, steps - 1);
@@ -297,7 +297,7 @@
   void Send(ModelState& state, int index, milliseconds delay) {
     Machine& machine = At(state, index);
     const Time arrives = state.now + delay;
-    machine.busy_until = std::max(machine.busy_until, arrives);
+    machine.orders_in_flight_until = std::max(machine.orders_in_flight_until, arrives);
     machine.history.NoteOrder(kServer, arrives);
     RecordArrival(state, {index, machine.token, arrives});
   }
@@ -319,7 +319,7 @@
 
   void Release(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
-    if (rules_.release_after_orders && before.now < machine.busy_until) return;
+    if (rules_.release_after_orders && before.now < machine.orders_in_flight_until) return;
     ModelState state = before;
     Machine& resigning_machine = At(state, index);
     OrderHistoryRecord record = resigning_machine.history.ToRecord(
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -17,12 +17,12 @@
 OrderHistory Make(const std::string& holder) { return {holder, kOrderSeparation, kLoadWindow}; }
 
 TEST_CASE("The next leader avoids recently ordered servers only, and only for as long as needed") {
-  OrderHistory before = Make("a");
-  before.NoteOrder("i-0", kStart - milliseconds(9'000));
-  before.NoteOrder("i-1", kStart);
-  before.NoteOrder("i-2", kStart + milliseconds(2'000));
-  before.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later order counts.
-  const OrderHistoryRecord record = before.ToRecord(kStart + milliseconds(2'000), kStart);
+  OrderHistory previous = Make("a");
+  previous.NoteOrder("i-0", kStart - milliseconds(9'000));
+  previous.NoteOrder("i-1", kStart);
+  previous.NoteOrder("i-2", kStart + milliseconds(2'000));
+  previous.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later order counts.
+  const OrderHistoryRecord record = previous.ToRecord(kStart + milliseconds(2'000), kStart);
   CHECK(record.servers.size() == 2);
   CHECK(record.quiet_ms == 0);
   OrderHistory next = Make("b");
@@ -38,11 +38,11 @@
 }
 
 TEST_CASE("A restarted machine waits only until the orders of its earlier process have ended") {
-  OrderHistory before = Make("a");
-  before.NoteOrder("i-1", kStart);
-  OrderHistory again = Make("a");
-  again.Inherit(before.ToRecord(kStart, kStart), kStart);
-  CHECK(again.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
+  OrderHistory previous = Make("a");
+  previous.NoteOrder("i-1", kStart);
+  OrderHistory restarted = Make("a");
+  restarted.Inherit(previous.ToRecord(kStart, kStart), kStart);
+  CHECK(restarted.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
 TEST_CASE("A leader hands over its inherited orders and its remaining wait") {
@@ -64,12 +64,12 @@
 }
 
 TEST_CASE("Loads of the previous leader count against the limit on loads") {
-  OrderHistory before = Make("a");
-  for (int load = 0; load < 6; ++load) before.loads().RecordLoad(kStart);
-  before.loads().RecordUnansweredLoad(kStart);
+  OrderHistory previous = Make("a");
+  for (int load = 0; load < 6; ++load) previous.loads().RecordLoad(kStart);
+  previous.loads().RecordUnansweredLoad(kStart);
   const Time later = kStart + milliseconds(1'000);
   OrderHistory next = Make("b");
-  next.Inherit(before.ToRecord(later, kStart), later);
+  next.Inherit(previous.ToRecord(later, kStart), later);
   CHECK(next.loads().AvailableLoads(2, later) == Approx(3));
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'200)) == Approx(3));
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'400)) == Approx(9));
