--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -83,9 +83,9 @@
 }
 
 void LeaderElection::KeyChanged(const std::optional<KeyValue>& entry, StoreRevision revision) {
-  if (window_.leading() && revision < record_revision_)
-    return;                                     // Predates this leader's own write.
-  if (revision <= key_state_revision_) return;  // Already known from a direct read.
+  // The change predates this leader's own write, or a direct read has already shown it.
+  if (window_.leading() && revision < record_revision_) return;
+  if (revision <= key_state_revision_) return;
   key_state_revision_ = revision;
   key_state_seen_at_ = BootClock::now();
   restore_wait_.NoteEra(revision.era, key_state_seen_at_);
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -32,13 +32,13 @@
 struct Rules {
   bool stop_at_half_lease = true;
   bool bound_orders = true;
-  /// When the previous leader left no order history.
+  /// A leader without an inherited order history waits before its first order.
   bool wait_after_win = true;
-  /// Servers that the previous leader's record lists.
+  /// A leader avoids the servers that the previous leader's record lists.
   bool avoid_recently_ordered_servers = true;
   /// Leadership is released only when no order is in flight.
   bool release_after_orders = true;
-  /// Otherwise the key disappears before its lease would lapse.
+  /// A lease is revoked only after its key is detached. Otherwise the key disappears too early.
   bool revoke_only_released_leases = true;
   /// The next leader waits for unknown orders of an earlier process.
   bool wait_for_own_earlier_process = true;
@@ -50,11 +50,12 @@
   bool claim_on_decided_revision = true;
   /// A leader of a later era waits for orders of the previous one.
   bool wait_after_restore = true;
-  /// Otherwise a renewal succeeds on another machine's reused number.
+  /// A renewal fails in a later era. Otherwise it renews another machine's lease of the same
+  /// number.
   bool renewals_check_era = true;
   /// A restored record does not describe the current leader.
   bool ignore_records_of_past_eras = true;
-  /// Otherwise tokens are bare revisions, which are issued again.
+  /// Tokens include the era. Otherwise they are bare revisions, which are issued again.
   bool tokens_include_era = true;
 };
 
