--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -29,13 +29,13 @@
 
 const char* Name(ServerOrderOutcome outcome) {
   switch (outcome) {
-    case ServerOrderOutcome::kUnderWay:
+    case ServerOrderOutcome::kInProgress:
       return "under_way";
     case ServerOrderOutcome::kAlreadyDone:
       return "already_done";
     case ServerOrderOutcome::kConflict:
       return "conflict";
-    case ServerOrderOutcome::kOtherServer:
+    case ServerOrderOutcome::kOtherIncarnation:
       return "other_server";
     case ServerOrderOutcome::kRejected:
       return "rejected";
@@ -45,14 +45,14 @@
   return "unknown";
 }
 
-HeldModel* FindModel(std::vector<HeldModel>& models, const std::string& name) {
-  for (HeldModel& held : models)
+LoadedModel* FindModel(std::vector<LoadedModel>& models, const std::string& name) {
+  for (LoadedModel& held : models)
     if (held.name == name) return &held;
   return nullptr;
 }
 
-bool Shows(const std::vector<HeldModel>& models, const ModelReference& name) {
-  for (const HeldModel& held : models)
+bool Shows(const std::vector<LoadedModel>& models, const ModelReference& name) {
+  for (const LoadedModel& held : models)
     if (held.name == name.model) return name.adapter.empty() || held.HasAdapter(name.adapter);
   return false;
 }
@@ -129,13 +129,13 @@
   if (term_ == election_.fencing_token()) return;
   term_ = election_.fencing_token();
   managed_.clear();
-  if (election_.knows_loads()) return;
+  if (election_.load_history_known()) return;
   constexpr double kShareAssumedUsed = 0.5;
   const double window_s = std::chrono::duration<double>(settings_.load_window).count();
   for (const ServiceDescription& service : view_.routes->configuration().services)
     if (service.engine)
-      election_.loads().AssumeUsed(service.engine->loads_per_second * kShareAssumedUsed * window_s,
-                                   BootClock::now());
+      election_.loads().RecordAssumedLoads(
+          service.engine->loads_per_second * kShareAssumedUsed * window_s, BootClock::now());
 }
 
 void FleetController::PlanAll() {
@@ -195,7 +195,7 @@
 FleetController::ManagedPtr FleetController::ManagedLife(const ServerRecord& record) {
   // What was known and ordered of an earlier life went with it; what is under way there ends alone.
   const auto found = managed_.find(record.id);
-  if (found != managed_.end() && IsLaterLife(record.life, found->second->life))
+  if (found != managed_.end() && IsLaterIncarnation(record.life, found->second->life))
     managed_.erase(found);
   ManagedPtr managed = Managed(record.id);
   if (managed->life == 0) managed->life = record.life;
@@ -215,7 +215,7 @@
   planned.serving = server.Usable(now) && !server.TurnsAway(now) && !server.Suspect(now) &&
                     !demand_.Unreachable(server.record().id, now);
   planned.orderable = planned.serving && !managed->operating && now >= managed->not_before &&
-                      election_.ServerFree(planned.id);
+                      election_.ServerSafeToOrder(planned.id);
   const bool own = managed->known;
   planned.models = own ? managed->models : server.record().models;
   planned.in_memory = own ? managed->in_memory : server.record().in_memory;
@@ -236,9 +236,9 @@
   const auto now = BootClock::now();
   for (const auto& [id, managed] : managed_)
     if (!managed->incoming.empty() && managed->from_weight_store)
-      store_limit_.NoteUnderWay(managed->load_stated,
-                                std::chrono::duration_cast<milliseconds>(now - managed->load_began),
-                                managed->loads_together, now);
+      store_limit_.RecordLoadInProgress(
+          managed->load_stated, std::chrono::duration_cast<milliseconds>(now - managed->load_began),
+          managed->loads_together, now);
 }
 
 milliseconds FleetController::LongestLoad(const EngineDescription& engine) {
@@ -254,8 +254,8 @@
   for (const ServerPtr& server : view_.servers.Of(service.name))
     servers.push_back(Describe(*server));
   const double loads =
-      std::min(election_.loads().Free(service.engine->loads_per_second, now),
-               store_limit_.Free(StoreLoadsUnderWay(), LongestLoad(*service.engine)));
+      std::min(election_.loads().AvailableLoads(service.engine->loads_per_second, now),
+               store_limit_.AvailableLoads(StoreLoadsUnderWay(), LongestLoad(*service.engine)));
   const PlannerLimits limits{loads, kSlotShare * service.engine->slots};
   PlacementPlanner planner(*service.engine, demand_.Of(service.name, now), std::move(servers),
                            limits, now);
@@ -292,7 +292,7 @@
     managed->loads_together = StoreLoadsUnderWay();
   }
   if (step.from_weight_store) {
-    election_.loads().Count(BootClock::now());
+    election_.loads().RecordLoad(BootClock::now());
     ++metrics_.loads_from_weight_store;
   }
   if (step.kind == ServerOrderKind::kUnload) Notify(*managed, step.name, false);
@@ -328,8 +328,8 @@
 
 void FleetController::TakeReport(ManagedServer& managed, const ServerStatus& report) {
   managed.models = report.models;
-  for (const HeldModel& incoming : report.incoming)
-    if (HeldModel* held = FindModel(managed.models, incoming.name))
+  for (const LoadedModel& incoming : report.incoming)
+    if (LoadedModel* held = FindModel(managed.models, incoming.name))
       held->adapters.insert(held->adapters.end(), incoming.adapters.begin(),
                             incoming.adapters.end());
   managed.in_memory = report.in_memory;
@@ -354,7 +354,7 @@
 Awaitable<ServerOrderOutcome> FleetController::SendOrder(const ServerOrder& order,
                                                          const Endpoint& endpoint) {
   HttpSendOptions options;
-  options.deadline = BootClock::now() + LeaderElection::kLongestOrder;
+  options.deadline = BootClock::now() + LeaderElection::kMaxOrderDuration;
   options.fresh_connection = true;
   try {
     HttpRequest request = protocol_.MakeOrder(order);
@@ -382,7 +382,7 @@
 
 void FleetController::TakeOutcome(ManagedServer& managed, const PlacementStep& step,
                                   ServerOrderOutcome outcome) {
-  if (outcome == ServerOrderOutcome::kUnderWay) {
+  if (outcome == ServerOrderOutcome::kInProgress) {
     ++managed.order_count;
     return;
   }
@@ -397,7 +397,7 @@
   managed.incoming.clear();
   if (outcome == ServerOrderOutcome::kAlreadyDone) return;
   if (outcome == ServerOrderOutcome::kNoAnswer && step.from_weight_store)
-    election_.loads().CountUnanswered(BootClock::now());
+    election_.loads().RecordUnansweredLoad(BootClock::now());
   managed.not_before = BootClock::now() + kAfterFailure;
 }
 
@@ -410,15 +410,15 @@
   NoteOrder(order, outcome);
   TakeOutcome(*managed, step, outcome);
   const bool refused =
-      outcome != ServerOrderOutcome::kUnderWay && outcome != ServerOrderOutcome::kNoAnswer;
+      outcome != ServerOrderOutcome::kInProgress && outcome != ServerOrderOutcome::kNoAnswer;
   if (step.kind == ServerOrderKind::kUnload && refused) Notify(*managed, step.name, true);
-  if (outcome == ServerOrderOutcome::kUnderWay) co_await AwaitDone(managed, step, endpoint);
+  if (outcome == ServerOrderOutcome::kInProgress) co_await AwaitDone(managed, step, endpoint);
   managed->operating = false;
   PlanSoon();
 }
 
 void FleetController::TakeAdapterChange(ManagedServer& managed, const PlacementStep& step) {
-  HeldModel* held = FindModel(managed.models, step.name.model);
+  LoadedModel* held = FindModel(managed.models, step.name.model);
   if (held == nullptr) return;
   std::erase(held->adapters, step.name.adapter);
   if (step.kind == ServerOrderKind::kLoad) held->adapters.push_back(step.name.adapter);
@@ -450,14 +450,14 @@
   while (BootClock::now() < give_up && view_.servers.Find(managed->id) != nullptr) {
     const std::optional<ServerStatus> report = co_await ReadReport(managed->id, endpoint);
     // The count of orders begins anew with each life: one that went with the last is never reached.
-    if (!Current(managed) || (report && IsLaterLife(report->life, managed->life))) break;
+    if (!Current(managed) || (report && IsLaterIncarnation(report->life, managed->life))) break;
     if (report && report->order_count >= managed->order_count && !report->busy) {
       TakeReport(*managed, *report);
       managed->incoming.clear();
       if (load && step.from_weight_store)
-        store_limit_.NoteLoad(step.expected,
-                              std::chrono::duration_cast<milliseconds>(BootClock::now() - began),
-                              together, BootClock::now());
+        store_limit_.RecordCompletedLoad(
+            step.expected, std::chrono::duration_cast<milliseconds>(BootClock::now() - began),
+            together, BootClock::now());
       if (load && Shows(report->models, step.name)) Notify(*managed, step.name, true);
       co_return;
     }
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -10,69 +10,70 @@
 using std::chrono::milliseconds;
 using Time = OrderHistory::Time;
 
-constexpr milliseconds kApart{3'000};
+constexpr milliseconds kOrderSeparation{3'000};
 constexpr milliseconds kLoadWindow{5'000};
 const Time kStart{std::chrono::seconds(1'000)};
 
-OrderHistory Make(const std::string& holder) { return {holder, kApart, kLoadWindow}; }
+OrderHistory Make(const std::string& holder) { return {holder, kOrderSeparation, kLoadWindow}; }
 
-TEST_CASE("The next leader keeps away from ordered servers only, and only for as long as needed") {
-  OrderHistory before = Make("a");
-  before.NoteOrder("i-0", kStart - milliseconds(9'000));
-  before.NoteOrder("i-1", kStart);
-  before.NoteOrder("i-2", kStart + milliseconds(2'000));
-  before.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later one counts.
-  const OrderHistoryRecord record = before.Write(kStart + milliseconds(2'000), kStart);
+TEST_CASE("The next leader avoids recently ordered servers only, and only for as long as needed") {
+  OrderHistory previous = Make("a");
+  previous.NoteOrder("i-0", kStart - milliseconds(9'000));
+  previous.NoteOrder("i-1", kStart);
+  previous.NoteOrder("i-2", kStart + milliseconds(2'000));
+  previous.NoteOrder("i-2", kStart + milliseconds(1'000));  // The later order counts.
+  const OrderHistoryRecord record = previous.ToRecord(kStart + milliseconds(2'000), kStart);
   CHECK(record.servers.size() == 2);
   CHECK(record.quiet_ms == 0);
   OrderHistory next = Make("b");
   const Time seen = kStart + milliseconds(2'500);
-  next.TakeOver(record, seen);
-  CHECK(next.FreeAt("i-3") <= seen);
-  // 3,000 apart and 300 to spare; the order ended 2,000 before the record was written.
-  CHECK(next.FreeAt("i-1") == seen + milliseconds(1'300));
-  CHECK(next.FreeAt("i-2") == seen + milliseconds(3'300));
-  CHECK_FALSE(next.Clear(seen + milliseconds(3'299)));
-  CHECK(next.Clear(seen + milliseconds(3'300)));
+  next.Inherit(record, seen);
+  CHECK(next.SafeToOrderFrom("i-3") <= seen);
+  // The separation is 3,000 ms plus a margin of 300 ms; the order ended 2,000 ms before the record
+  // was written.
+  CHECK(next.SafeToOrderFrom("i-1") == seen + milliseconds(1'300));
+  CHECK(next.SafeToOrderFrom("i-2") == seen + milliseconds(3'300));
+  CHECK_FALSE(next.InheritedOrdersExpired(seen + milliseconds(3'299)));
+  CHECK(next.InheritedOrdersExpired(seen + milliseconds(3'300)));
 }
 
-TEST_CASE("A machine need not keep apart from its own earlier process, only outlast its orders") {
-  OrderHistory before = Make("a");
-  before.NoteOrder("i-1", kStart);
-  OrderHistory again = Make("a");
-  again.TakeOver(before.Write(kStart, kStart), kStart);
-  CHECK(again.FreeAt("i-1") == kStart + milliseconds(400));
+TEST_CASE("A restarted machine waits only until the orders of its earlier process have ended") {
+  OrderHistory previous = Make("a");
+  previous.NoteOrder("i-1", kStart);
+  OrderHistory restarted = Make("a");
+  restarted.Inherit(previous.ToRecord(kStart, kStart), kStart);
+  CHECK(restarted.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
-TEST_CASE("What a leader inherited, and its own wait, are handed on by it") {
+TEST_CASE("A leader hands over its inherited orders and its remaining wait") {
   OrderHistory first = Make("a");
   first.NoteOrder("i-1", kStart);
   OrderHistory second = Make("b");
-  second.TakeOver(first.Write(kStart, kStart), kStart);
+  second.Inherit(first.ToRecord(kStart, kStart), kStart);
   const Time later = kStart + milliseconds(1'000);
   second.NoteOrder("i-2", later);
-  const OrderHistoryRecord record = second.Write(later, kStart + milliseconds(2'400));
+  const OrderHistoryRecord record = second.ToRecord(later, kStart + milliseconds(2'400));
   CHECK(record.quiet_ms == 1'400);
   OrderHistory third = Make("c");
-  third.TakeOver(record, later);
-  CHECK(third.FreeAt("i-1") == kStart + milliseconds(3'300));
-  CHECK(third.FreeAt("i-2") == later + milliseconds(3'300));
-  CHECK(second.Write(kStart + milliseconds(20'000), kStart).servers.empty());
-  second.Begin();
-  CHECK(second.Clear(kStart));
+  third.Inherit(record, later);
+  CHECK(third.SafeToOrderFrom("i-1") == kStart + milliseconds(3'300));
+  CHECK(third.SafeToOrderFrom("i-2") == later + milliseconds(3'300));
+  CHECK(second.ToRecord(kStart + milliseconds(20'000), kStart).servers.empty());
+  second.Reset();
+  CHECK(second.InheritedOrdersExpired(kStart));
 }
 
-TEST_CASE("Loads of the leader before count against the bound on loads") {
-  OrderHistory before = Make("a");
-  for (int load = 0; load < 6; ++load) before.loads().Count(kStart);
-  before.loads().CountUnanswered(kStart);
+TEST_CASE("Loads of the previous leader count against the limit on loads") {
+  OrderHistory previous = Make("a");
+  for (int load = 0; load < 6; ++load) previous.loads().RecordLoad(kStart);
+  previous.loads().RecordUnansweredLoad(kStart);
   const Time later = kStart + milliseconds(1'000);
   OrderHistory next = Make("b");
-  next.TakeOver(before.Write(later, kStart), later);
-  CHECK(next.loads().Free(2, later) == Approx(3));
-  CHECK(next.loads().Free(2, kStart + milliseconds(5'200)) == Approx(3));
-  CHECK(next.loads().Free(2, kStart + milliseconds(5'400)) == Approx(9));
-  CHECK(next.loads().Free(2, kStart + milliseconds(60'000)) == Approx(10));
+  next.Inherit(previous.ToRecord(later, kStart), later);
+  CHECK(next.loads().AvailableLoads(2, later) == Approx(3));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'200)) == Approx(3));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'400)) == Approx(9));
+  CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(60'000)) == Approx(10));
 }
 
 DemandReport Report(const std::string& name, int uptime_ms, bool stopping = false) {
@@ -84,20 +85,22 @@
   return report;
 }
 
-TEST_CASE("Leadership is offered to the daemon that was restarted last, if it is well") {
+TEST_CASE(
+    "Leadership is offered to the most recently restarted daemon that is neither starting nor "
+    "stopping") {
   FleetMembers members;
-  CHECK_FALSE(members.Successor(kStart, false).has_value());
+  CHECK_FALSE(members.ChooseSuccessor(kStart, false).has_value());
   members.Note(Report("old", 90'000), kStart);
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("old:1"));
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("old:1"));
   members.Note(Report("new", 2'000), kStart);
   members.Note(Report("starting", 100), kStart);
   members.Note(Report("leaving", 1'000, true), kStart);
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("new:1"));
-  CHECK_FALSE(members.Successor(kStart + milliseconds(2'000), false).has_value());
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("new:1"));
+  CHECK_FALSE(members.ChooseSuccessor(kStart + milliseconds(2'000), false).has_value());
 }
 
 TEST_CASE(
-    "Leadership goes to the youngest, and to a strong machine first where that is asked for") {
+    "The most recently restarted daemon succeeds, or a stronger machine where that is preferred") {
   FleetMembers members;
   DemandReport strong;
   strong.sender = "strong";
@@ -111,8 +114,8 @@
   weak.strength = 0.12;
   members.Note(weak, kStart);
   members.Note(strong, kStart);
-  CHECK(members.Successor(kStart, true) == std::optional<std::string>("strong:1"));
-  CHECK(members.Successor(kStart, false) == std::optional<std::string>("weak:1"));
+  CHECK(members.ChooseSuccessor(kStart, true) == std::optional<std::string>("strong:1"));
+  CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("weak:1"));
 }
 
 }  // namespace
