--- a/bench/fleet_bench.cc
+++ b/bench/fleet_bench.cc
@@ -50,14 +50,14 @@
                              std::chrono::milliseconds(13'200), std::chrono::milliseconds(1'200),
                              std::chrono::milliseconds(630)});
     ModelDemand& wanted = demand[{engine.models.back().name, ""}];
-    wanted.usual_arrivals_per_second = wanted.arrivals_per_second = 0.3;
+    wanted.long_term_arrivals_per_second = wanted.arrivals_per_second = 0.3;
     wanted.waiting = model % 10 == 0 ? 1 : 0;
     wanted.last_seen = now;
   }
   std::vector<PlannedServer> servers(count);
   for (std::size_t index = 0; index < count; ++index) {
     servers[index].id = "server-" + std::to_string(index);
-    servers[index].orderable = servers[index].serving = true;
+    servers[index].accepts_orders = servers[index].serving = true;
     for (std::size_t held = 0; held < 2; ++held)
       servers[index].models.push_back({engine.models[(index * 2 + held) % models].name, {}});
     for (std::size_t disk = 0; disk < 7; ++disk)
--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -20,7 +20,7 @@
 };
 
 /// Counts a daemon's demand between reports. One thread.
-class DemandBook {
+class DemandCounters {
  public:
   struct Key {
     std::string service;
@@ -34,7 +34,7 @@
     std::uint32_t late = 0;
   };
 
-  Count& At(const std::string& service, const ModelReference& name) {
+  Count& CountsOf(const std::string& service, const ModelReference& name) {
     return counts_[{service, name}];
   }
   /// @return what has happened since the last call; entries with nothing in them are forgotten.
@@ -49,23 +49,23 @@
 };
 
 /// Counts one request in a book for as long as this lives. The book outlives it.
-class DemandMark {
+class ScopedDemandCount {
  public:
   /// @param counted which count of the model's entry.
-  DemandMark(DemandBook& book, std::string service, ModelReference model,
-             std::uint32_t DemandBook::Count::*counted)
+  ScopedDemandCount(DemandCounters& book, std::string service, ModelReference model,
+                    std::uint32_t DemandCounters::Count::*counted)
       : book_(book), service_(std::move(service)), model_(std::move(model)), counted_(counted) {
-    ++(book_.At(service_, model_).*counted_);
+    ++(book_.CountsOf(service_, model_).*counted_);
   }
-  ~DemandMark() { --(book_.At(service_, model_).*counted_); }
-  DemandMark(const DemandMark&) = delete;
-  DemandMark& operator=(const DemandMark&) = delete;
+  ~ScopedDemandCount() { --(book_.CountsOf(service_, model_).*counted_); }
+  ScopedDemandCount(const ScopedDemandCount&) = delete;
+  ScopedDemandCount& operator=(const ScopedDemandCount&) = delete;
 
  private:
-  DemandBook& book_;
+  DemandCounters& book_;
   std::string service_;
   ModelReference model_;
-  std::uint32_t DemandBook::Count::*counted_;
+  std::uint32_t DemandCounters::Count::*counted_;
 };
 
 }  // namespace moorfold
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -15,7 +15,7 @@
 namespace moorfold {
 
 /// A datagram that is no message of a known build.
-struct UnreadMessage {
+struct UndecodableMessage {
   std::string from;          ///< "IP:PORT" of the sender.
   std::uint16_t format = 0;  ///< That it states, see common/message_format.h.
   std::string problem;
@@ -51,7 +51,7 @@
   /// Hears why a datagram could not be sent.
   using DropHandler = std::function<void(const std::string& problem)>;
   /// Hears of a datagram that could not be read, and is left alone.
-  using UnreadHandler = std::function<void(const UnreadMessage&)>;
+  using UnreadHandler = std::function<void(const UndecodableMessage&)>;
 
   /// What to do with each kind of message.
   struct Handlers {
--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -214,8 +214,8 @@
   planned.id = server.record().id;
   planned.serving = server.Usable(now) && !server.TurnsAway(now) && !server.Suspect(now) &&
                     !demand_.Unreachable(server.record().id, now);
-  planned.orderable = planned.serving && !managed->operating && now >= managed->not_before &&
-                      election_.ServerFree(planned.id);
+  planned.accepts_orders = planned.serving && !managed->operating && now >= managed->not_before &&
+                           election_.ServerFree(planned.id);
   const bool own = managed->known;
   planned.models = own ? managed->models : server.record().models;
   planned.in_memory = own ? managed->in_memory : server.record().in_memory;
--- a/src/fleet/fleet_demand.cc
+++ b/src/fleet/fleet_demand.cc
@@ -20,7 +20,7 @@
 void FleetDemand::Decay(Entry& entry, Time now) {
   const double passed_s = Seconds(now - entry.rated_at);
   const double share = std::exp(-passed_s / kAverageOverS);
-  entry.usual_arrivals_per_second *= std::exp(-passed_s / kUsualOverS);
+  entry.long_term_arrivals_per_second *= std::exp(-passed_s / kUsualOverS);
   entry.arrivals_per_second *= share;
   entry.late_per_second *= share;
   entry.rated_at = now;
@@ -54,7 +54,7 @@
     Entry& entry = services_[reported.service][reported.name];
     Decay(entry, now);
     entry.arrivals_per_second += reported.arrivals / kAverageOverS;
-    entry.usual_arrivals_per_second += reported.arrivals / kUsualOverS;
+    entry.long_term_arrivals_per_second += reported.arrivals / kUsualOverS;
     entry.late_per_second += reported.late / kAverageOverS;
     entry.senders[report.sender] = {reported.waiting, reported.in_flight, now};
     if (reported.arrivals > 0 || reported.waiting > 0) entry.last_seen = now;
@@ -83,7 +83,7 @@
     }
     sum.arrivals_per_second = entry.arrivals_per_second;
     sum.late_per_second = entry.late_per_second;
-    sum.usual_arrivals_per_second = entry.usual_arrivals_per_second;
+    sum.long_term_arrivals_per_second = entry.long_term_arrivals_per_second;
     sum.last_seen = entry.last_seen;
     if (entry.unserved_since != Time{}) sum.unserved_s = Seconds(now - entry.unserved_since);
   }
--- a/src/fleet/fleet_demand.h
+++ b/src/fleet/fleet_demand.h
@@ -13,8 +13,8 @@
 struct ModelDemand {
   double waiting = 0;  ///< Requests that found no server.
   double in_flight = 0;
-  double arrivals_per_second = 0;        ///< Over the last seconds.
-  double usual_arrivals_per_second = 0;  ///< Over some tens of seconds, for rare models.
+  double arrivals_per_second = 0;            ///< Over the last seconds.
+  double long_term_arrivals_per_second = 0;  ///< Over some tens of seconds, for rare models.
   /// Answers that came late by what their servers did, over the last seconds: first parts or pauses
   /// between parts that took longer than the route aims at.
   double late_per_second = 0;
@@ -49,7 +49,7 @@
   struct Entry {
     std::map<std::string, FromSender> senders;
     double arrivals_per_second = 0;  ///< Decays with kHalfLife.
-    double usual_arrivals_per_second = 0;
+    double long_term_arrivals_per_second = 0;
     double late_per_second = 0;
     Time rated_at{};
     Time last_seen{};
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -50,7 +50,7 @@
 
   /// @return whether it tells of what is, in a store of that era. A record of a build that knows no
   /// eras does where no copy can have brought it back.
-  bool TellsNow(std::int64_t era_of_store) const {
+  bool IsValidInEra(std::int64_t era_of_store) const {
     return era == era_of_store || (era == kEraUntold && era_of_store <= kEraWithoutReturn);
   }
 
--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -178,7 +178,7 @@
   lease_ = lease;
   grant_sent_ = grant_sent;
   // In a copy, what the record says of its leader may be long past: another may have led since.
-  const bool tells_now = leader_ && leader_->TellsNow(lease.era);
+  const bool tells_now = leader_ && leader_->IsValidInEra(lease.era);
   took_over_own_ = tells_now && leader_->name == settings_.name && leader_->settled;
   taken_over_.reset();
   claimed_own_ = leader_ && leader_->name == settings_.name && !leader_->released;
--- a/src/fleet/leader_election.h
+++ b/src/fleet/leader_election.h
@@ -83,7 +83,7 @@
   /// A leader's record that tells of this era is of a leader that has waited itself, or hands on
   /// what is left to wait.
   void NoteRecord(const LeaderRecord& record) {
-    if (era_ && record.TellsNow(*era_)) quiet_until_ = Time{};
+    if (era_ && record.IsValidInEra(*era_)) quiet_until_ = Time{};
   }
   /// @return until when a leader of this era gives no order.
   Time quiet_until() const { return quiet_until_; }
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -61,7 +61,7 @@
     ModelDemand& whole = by_model_[name.model];
     whole.in_flight += demanded.in_flight;
     whole.arrivals_per_second += demanded.arrivals_per_second;
-    whole.usual_arrivals_per_second += demanded.usual_arrivals_per_second;
+    whole.long_term_arrivals_per_second += demanded.long_term_arrivals_per_second;
     whole.last_seen = std::max(whole.last_seen, demanded.last_seen);
     whole.late_per_second += demanded.late_per_second;
     whole.unserved_s = std::max(whole.unserved_s, demanded.unserved_s);
@@ -178,7 +178,7 @@
   if (demand.arrivals_per_second <= 0) return 0;
   // The slow average has come so far towards the fast one.
   const double caught_up =
-      std::min(demand.usual_arrivals_per_second / demand.arrivals_per_second, kMostCaughtUp);
+      std::min(demand.long_term_arrivals_per_second / demand.arrivals_per_second, kMostCaughtUp);
   const double lasted_s = -FleetDemand::kUsualOverS * std::log1p(-caught_up);
   return std::exp(-seconds / std::max(kShortestDemandS, lasted_s));
 }
@@ -186,7 +186,7 @@
 std::optional<PlacementPlanner::Placement> PlacementPlanner::PlaceAt(PlannedServer& server,
                                                                      const ModelDescription& model,
                                                                      double gain, bool near_copy) {
-  if (!server.orderable || !server.intended.empty() || !server.incoming.empty())
+  if (!server.accepts_orders || !server.intended.empty() || !server.incoming.empty())
     return std::nullopt;
   if (server.Find(model.name) != nullptr) return std::nullopt;
   const bool from_store = FromWeightStore(server, model.name);
@@ -229,7 +229,7 @@
   losses_.erase(model.name);
   server.incoming = model.name;
   server.intended.clear();
-  server.orderable = false;
+  server.accepts_orders = false;
 }
 
 void PlacementPlanner::EmitUnload(PlannedServer& server, const std::string& model,
@@ -239,7 +239,7 @@
   --copies_[model];
   losses_.erase(model);
   server.intended = intended;
-  server.orderable = false;
+  server.accepts_orders = false;
   std::erase_if(server.models, [&](const HeldModel& held) { return held.name == model; });
 }
 
@@ -306,7 +306,7 @@
 
 void PlacementPlanner::PlanModels() {
   for (PlannedServer& server : servers_)
-    if (server.orderable && !server.intended.empty()) ContinueIntention(server);
+    if (server.accepts_orders && !server.intended.empty()) ContinueIntention(server);
   std::size_t placed = 0;
   for (const Want& want : Wants()) {
     if (placed++ >= kMostWants) break;
@@ -326,7 +326,7 @@
       ++holders;
       continue;
     }
-    if (!server.orderable) continue;
+    if (!server.accepts_orders) continue;
     if (best == nullptr || AdaptersOn(server) < AdaptersOn(*best)) best = &server;
   }
   const double borne = kAdapterShare * limits_.requests_per_server;
@@ -336,7 +336,7 @@
       AdaptersOn(*best) < engine_.adapter_slots && FreeMegabytes(*best) >= model->adapter_mb;
   if (room) {
     steps_.push_back({ServerOrderKind::kLoad, best->id, name, "", false, {}});
-    best->orderable = false;
+    best->accepts_orders = false;
     return;
   }
   ModelReference victim;
@@ -349,7 +349,7 @@
       }
   if (victim.model.empty()) return;
   steps_.push_back({ServerOrderKind::kUnload, best->id, victim, "", false, {}});
-  best->orderable = false;
+  best->accepts_orders = false;
 }
 
 void PlacementPlanner::PlanAdapters() {
--- a/src/fleet/placement_planner.h
+++ b/src/fleet/placement_planner.h
@@ -18,8 +18,8 @@
 /// A model server as the planner sees it.
 struct PlannedServer {
   std::string id;
-  bool orderable = false;  ///< Takes orders now: alive, not leaving, no order under way.
-  bool serving = false;    ///< Alive and not leaving.
+  bool accepts_orders = false;  ///< Takes orders now: alive, not leaving, no order under way.
+  bool serving = false;         ///< Alive and not leaving.
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
--- a/src/fleet/placement_value.cc
+++ b/src/fleet/placement_value.cc
@@ -38,7 +38,7 @@
 double PlacementValue::ExpectedRate(const ModelDemand& demand) const {
   constexpr double kShortestIdleS = 0.01;
   const double idle_s = std::max(kShortestIdleS, Seconds(now_ - demand.last_seen));
-  return std::min(demand.usual_arrivals_per_second, kIntervalsBelieved / idle_s);
+  return std::min(demand.long_term_arrivals_per_second, kIntervalsBelieved / idle_s);
 }
 
 /// @return how many servers' worth of work there is.
--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -21,7 +21,7 @@
   RouteTableConstPtr routes;  ///< Null until a configuration is known.
   ServerDirectory servers;
   ExpectedModels expected;
-  DemandBook demand;
+  DemandCounters demand;
   SteadyTime configured_at{};             ///< When `routes` was taken over.
   SteadyTime servers_current_at{};        ///< At that time the store knew no more of servers.
   SteadyTime configuration_current_at{};  ///< The same of the configuration.
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -156,7 +156,7 @@
                       LogRank::kRoutine,
                       EventLine(LogEvent::kDatagramDropped).Field(LogField::kProblem, problem));
                 },
-                [this](const UnreadMessage& message) { NoteUnread(message); }}),
+                [this](const UndecodableMessage& message) { NoteUnread(message); }}),
       election_(context, store_, log,
                 {settings_.name, ToString(channel_.endpoint()), kLeaderKey, kLeaderLease,
                  settings_.order_handover, settings_.load_window, CandidacyDelay(settings_)}),
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -64,7 +64,7 @@
   bool Expected(const ChangeAnswer& answer) const;
   /// A datagram is left alone.
   void NoteDropped(const std::string& problem, const std::string& from);
-  void NoteUnread(const UnreadMessage& message);
+  void NoteUnread(const UndecodableMessage& message);
   void TakeSize(std::uint32_t daemons);
   QuarantineService::Ports QuarantinePorts();
   std::vector<std::string> Peers();
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -212,7 +212,7 @@
   relays_.Pull();
 }
 
-void Gateway::NoteUnread(const UnreadMessage& message) {
+void Gateway::NoteUnread(const UndecodableMessage& message) {
   const std::string format = std::to_string(message.format);
   metrics_.messages_unread.Add({{"sender", message.from}, {"format", format}});
   log_.Write(LogRank::kRoutine, EventLine(LogEvent::kDatagramDropped)
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -174,8 +174,8 @@
 Awaitable<ServerPtr> RequestPipeline::AwaitServer(GatewayRequest& request) {
   NoServerReason reason = NoServerReason::kNone;
   if (ServerPtr server = ChooseOnce(request, reason)) co_return server;
-  const DemandMark waiting(view_.demand, request.service, request.model,
-                           &DemandBook::Count::waiting);
+  const ScopedDemandCount waiting(view_.demand, request.service, request.model,
+                                  &DemandCounters::Count::waiting);
   const auto began = BootClock::now();
   ++metrics_.waits_for_server;
   view_.demand_raised.NotifyAll();
@@ -297,8 +297,8 @@
 Awaitable<ForwardResult> RequestPipeline::Attempt(HttpServerExchange& exchange,
                                                   GatewayRequest& request,
                                                   const ServerPtr& server) {
-  const DemandMark flight(view_.demand, request.service, request.model,
-                          &DemandBook::Count::in_flight);
+  const ScopedDemandCount flight(view_.demand, request.service, request.model,
+                                 &DemandCounters::Count::in_flight);
   std::optional<QuarantineService::Trial> trial;
   if (quarantine_.book().Known(request.fingerprint))
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
@@ -318,7 +318,7 @@
   std::uint32_t sends_allowed = 1;
   // Whoever is over its limit is told before it waits for a server or counts as demand.
   while (co_await AwaitCredit(request)) {
-    if (!request.counted) ++view_.demand.At(request.service, request.model).arrivals;
+    if (!request.counted) ++view_.demand.CountsOf(request.service, request.model).arrivals;
     request.counted = true;
     if (request.sends >= sends_allowed && !co_await AwaitAllowance(request, allowance)) break;
     sends_allowed = request.sends + 1;
@@ -355,7 +355,7 @@
   // Copies elsewhere are wanted as much as where answers come late.
   const bool at_limit = !request.head_sent && request.no_server == NoServerReason::kAtLimit;
   if (!request.model.model.empty() && (late || at_limit))
-    ++view_.demand.At(request.service, request.model).late;
+    ++view_.demand.CountsOf(request.service, request.model).late;
   ReturnCredit(request);
   co_await Finish(exchange, request, result, server_id);
 }
--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -68,7 +68,7 @@
       [](const PermitQuestion&, const std::string&) {},
       [](const PermitAnswer&, const std::string&) {},
       [](const std::string&) {},
-      [&](const UnreadMessage& message) { dropped.push_back(message.problem); }};
+      [&](const UndecodableMessage& message) { dropped.push_back(message.problem); }};
   DemandChannel leader(context, {"127.0.0.1", 0}, to_leader);
   DemandChannel::Handlers to_daemon{
       [](const DemandReport&) {},
--- a/test/fleet/fleet_demand_test.cc
+++ b/test/fleet/fleet_demand_test.cc
@@ -53,8 +53,8 @@
 }
 
 TEST_CASE("Late answers are told to the leader once, and fade") {
-  DemandBook book;
-  book.At("s", {"m", ""}).late = 3;
+  DemandCounters book;
+  book.CountsOf("s", {"m", ""}).late = 3;
   const std::vector<DemandEntry> entries = book.Take();
   REQUIRE(entries.size() == 1);
   CHECK(entries[0].late == 3);
--- a/test/fleet/placement_test.cc
+++ b/test/fleet/placement_test.cc
@@ -30,7 +30,7 @@
 PlannedServer MakeServer(const std::string& id, const std::vector<std::string>& models) {
   PlannedServer server;
   server.id = id;
-  server.orderable = true;
+  server.accepts_orders = true;
   server.serving = true;
   for (const std::string& model : models) server.models.push_back({model, {}});
   return server;
@@ -41,7 +41,7 @@
   demand.waiting = waiting;
   demand.in_flight = in_flight;
   demand.arrivals_per_second = waiting + in_flight;
-  demand.usual_arrivals_per_second = demand.arrivals_per_second;
+  demand.long_term_arrivals_per_second = demand.arrivals_per_second;
   demand.last_seen = kNow;
   return demand;
 }
@@ -76,10 +76,10 @@
 
 TEST_CASE("What is idle the longest makes room; what is needed stays") {
   ModelDemand old;
-  old.usual_arrivals_per_second = 0.1;
+  old.long_term_arrivals_per_second = 0.1;
   old.last_seen = kNow - seconds(50);
   ModelDemand recent;
-  recent.usual_arrivals_per_second = 0.1;
+  recent.long_term_arrivals_per_second = 0.1;
   recent.last_seen = kNow - seconds(1);
   const auto steps = Plan({{{"a", ""}, Waiting(1)}, {{"b", ""}, recent}, {{"c", ""}, old}},
                           {MakeServer("i", {"b", "c"})});
@@ -131,7 +131,7 @@
   };
   PlannedServer busy = MakeServer("busy", {"b", "c"});
   busy.on_disk = {"a"};
-  busy.orderable = false;  // It will take orders again within a second.
+  busy.accepts_orders = false;  // It will take orders again within a second.
   const PlannedServer empty = MakeServer("empty", {});
   CHECK(plan({{{"a", ""}, Waiting(1)}}, {busy, empty}).empty());
   busy.on_disk.clear();
@@ -176,7 +176,7 @@
     std::vector<PlannedServer> servers;
     for (int server = 0; server < *rc::gen::inRange(1, 5); ++server) {
       PlannedServer planned = MakeServer(std::to_string(server), {});
-      planned.orderable = *rc::gen::arbitrary<bool>();
+      planned.accepts_orders = *rc::gen::arbitrary<bool>();
       for (const std::string& name : names)
         if (planned.models.size() < 2 && *rc::gen::inRange(0, 3) == 0)
           planned.models.push_back({name, {}});
@@ -199,7 +199,7 @@
     for (const PlacementStep& step : planner.Plan()) {
       RC_ASSERT(++orders[step.server_id] == 1);
       const PlannedServer& server = servers[std::stoul(step.server_id)];
-      RC_ASSERT(server.orderable);
+      RC_ASSERT(server.accepts_orders);
       if (step.kind == ServerOrderKind::kUnload) continue;
       double used = step.name.adapter.empty() ? 90 : 5;
       std::size_t adapters = step.name.adapter.empty() ? 0 : 1;
@@ -259,10 +259,10 @@
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kLoad);
   CHECK(steps[0].from_weight_store);
-  demand.usual_arrivals_per_second = 0.05 * demand.arrivals_per_second;  // Since a second.
+  demand.long_term_arrivals_per_second = 0.05 * demand.arrivals_per_second;  // Since a second.
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());
   // A small fleet has no server to spare for seconds.
-  demand.usual_arrivals_per_second = demand.arrivals_per_second;
+  demand.long_term_arrivals_per_second = demand.arrivals_per_second;
   servers.resize(3);
   demand.late_per_second = 1;
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());
@@ -272,14 +272,14 @@
   ModelDemand late = Busy(20);
   late.late_per_second = 10;
   ModelDemand rare = Busy(0);
-  rare.usual_arrivals_per_second = 0.05;
+  rare.long_term_arrivals_per_second = 0.05;
   PlannedServer near = MakeServer("near", {"b", "c"});
   near.in_memory = {"a"};
   std::vector<PlannedServer> servers = {MakeServer("holder", {"a", "d"}), near};
-  servers[0].orderable = false;
+  servers[0].accepts_orders = false;
   CHECK(Plan({{{"a", ""}, late}, {{"b", ""}, rare}, {{"c", ""}, rare}}, servers).empty());
   servers.push_back(MakeServer("other", {"b"}));
-  servers.back().orderable = false;
+  servers.back().accepts_orders = false;
   const auto steps = Plan({{{"a", ""}, late}, {{"b", ""}, rare}, {{"c", ""}, rare}}, servers);
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kUnload);
@@ -315,7 +315,7 @@
   const int servers = *rc::gen::inRange(1, 12);
   for (int number = 0; number < servers; ++number) {
     PlannedServer server = MakeServer("i-" + std::to_string(10 + number), {});
-    server.orderable = *rc::gen::inRange(0, 4) > 0;
+    server.accepts_orders = *rc::gen::inRange(0, 4) > 0;
     for (const std::string& model : models)
       if (*rc::gen::inRange(0, 3) == 0 && server.models.size() < 2) {
         HeldModel held{model, {}};
--- a/test/fleet/placement_value_test.cc
+++ b/test/fleet/placement_value_test.cc
@@ -24,7 +24,7 @@
 ModelDemand MakeDemand(double in_flight, double usual_rate, seconds idle = seconds(0)) {
   ModelDemand demand;
   demand.in_flight = in_flight;
-  demand.usual_arrivals_per_second = usual_rate;
+  demand.long_term_arrivals_per_second = usual_rate;
   demand.last_seen = kNow - idle;
   return demand;
 }
