--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -11,9 +11,9 @@
 
 namespace {
 constexpr std::size_t kEntriesPerDatagram = 24;
-constexpr std::chrono::seconds kReporterLife{60};
+constexpr std::chrono::seconds kReporterTimeout{60};
 /// A daemon that has not reported for so long has no request that waits.
-constexpr std::chrono::seconds kListening{5};
+constexpr std::chrono::seconds kBroadcastRecency{5};
 
 /// @param address "IP:PORT".
 udp::endpoint Resolve(const std::string& address) {
@@ -42,60 +42,60 @@
   socket_.async_receive_from(boost::asio::buffer(buffer_), from_,
                              [this](const boost::system::error_code& error, std::size_t length) {
                                if (error == boost::asio::error::operation_aborted) return;
-                               if (!error) Take(length);
+                               if (!error) HandleDatagram(length);
                                Receive();
                              });
 }
 
-void DemandChannel::Take(std::size_t length) {
+void DemandChannel::HandleDatagram(std::size_t length) {
   const std::string bytes(buffer_.data(), length);
   const std::string from = ToString(Endpoint{from_.address().to_string(), from_.port()});
   std::optional<FleetMessage> message;
   try {
     message = DecodeMessage<FleetMessage>(bytes);
   } catch (const std::exception& error) {  // Of another build, or no message: left alone.
-    handlers_.unread({from, FormatOf(bytes), std::string("received: ") + error.what()});
+    handlers_.on_undecodable({from, FormatOf(bytes), std::string("received: ") + error.what()});
     return;
   }
   try {
     Dispatch(std::move(*message), from);
   } catch (const std::exception& error) {  // It names what cannot be, as an address that is none.
-    handlers_.dropped(std::string("received: ") + error.what());
+    handlers_.on_drop(std::string("received: ") + error.what());
   }
 }
 
 void DemandChannel::Dispatch(FleetMessage message, const std::string& from) {
   if (auto* report = std::get_if<DemandReport>(&message)) {
     reporters_[from_] = BootClock::now();
-    handlers_.reported(std::move(*report));
+    handlers_.on_report(std::move(*report));
   } else if (const auto* notice = std::get_if<PlacementNotice>(&message)) {
-    handlers_.noticed(*notice, from);
+    handlers_.on_placement_notice(*notice, from);
   } else if (const auto* answer = std::get_if<ChangeAnswer>(&message)) {
-    handlers_.answered(*answer, from);
+    handlers_.on_change_answer(*answer, from);
   } else if (const auto* cases = std::get_if<QuarantineNotice>(&message)) {
-    handlers_.quarantined(*cases, from);
+    handlers_.on_quarantine_notice(*cases, from);
   } else if (const auto* sharing = std::get_if<CreditSharing>(&message)) {
-    handlers_.shared(*sharing, from);
+    handlers_.on_credit_sharing(*sharing, from);
   } else if (const auto* credit = std::get_if<CreditQuestion>(&message)) {
-    handlers_.credit_asked(*credit, from);
+    handlers_.on_credit_question(*credit, from);
   } else if (const auto* granted = std::get_if<CreditAnswer>(&message)) {
-    handlers_.credit_answered(*granted, from);
+    handlers_.on_credit_answer(*granted, from);
   } else if (const auto* plan = std::get_if<RelayPlan>(&message)) {
-    handlers_.planned(*plan, from);
+    handlers_.on_relay_plan(*plan, from);
   } else if (const auto* servers = std::get_if<ServersQuestion>(&message)) {
-    handlers_.servers_asked(*servers, from);
+    handlers_.on_servers_question(*servers, from);
   } else if (const auto* page = std::get_if<ServersPage>(&message)) {
-    handlers_.servers_answered(*page, from);
+    handlers_.on_servers_page(*page, from);
   } else if (const auto* text = std::get_if<ConfigurationQuestion>(&message)) {
-    handlers_.configuration_asked(*text, from);
+    handlers_.on_configuration_question(*text, from);
   } else if (const auto* part = std::get_if<ConfigurationPart>(&message)) {
-    handlers_.configuration_answered(*part, from);
+    handlers_.on_configuration_part(*part, from);
   } else if (const auto* turn = std::get_if<PermitQuestion>(&message)) {
-    handlers_.permit_asked(*turn, from);
+    handlers_.on_permit_question(*turn, from);
   } else if (const auto* given = std::get_if<PermitAnswer>(&message)) {
-    handlers_.permit_answered(*given, from);
+    handlers_.on_permit_answer(*given, from);
   } else {
-    handlers_.offered(std::get<LeadershipOffer>(message));
+    handlers_.on_leadership_offer(std::get<LeadershipOffer>(message));
   }
 }
 
@@ -103,14 +103,14 @@
   const std::string bytes = EncodeMessage(message);
   boost::system::error_code error;  // A full buffer loses it, as the network may.
   socket_.send_to(boost::asio::buffer(bytes), to, 0, error);
-  if (error) handlers_.dropped("not sent: " + error.message());
+  if (error) handlers_.on_drop("not sent: " + error.message());
 }
 
 void DemandChannel::SendTo(const std::string& to, const FleetMessage& message) {
   try {
     Send(message, Resolve(to));
   } catch (const std::exception& error) {  // Told by another daemon.
-    handlers_.dropped(std::string("not sent: ") + error.what());
+    handlers_.on_drop(std::string("not sent: ") + error.what());
   }
 }
 
@@ -132,9 +132,9 @@
 void DemandChannel::Broadcast(const FleetMessage& message) {
   const auto now = BootClock::now();
   std::erase_if(reporters_,
-                [&](const auto& reporter) { return now - reporter.second > kReporterLife; });
+                [&](const auto& reporter) { return now - reporter.second > kReporterTimeout; });
   for (const auto& [endpoint, seen] : reporters_)
-    if (now - seen < kListening) Send(message, endpoint);
+    if (now - seen < kBroadcastRecency) Send(message, endpoint);
 }
 
 }  // namespace moorfold
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -47,31 +47,31 @@
   /// @param from "IP:PORT" of the sender.
   using PermitQuestionHandler = std::function<void(const PermitQuestion&, const std::string& from)>;
   using PermitAnswerHandler = std::function<void(const PermitAnswer&, const std::string& from)>;
-  using OfferHandler = std::function<void(const LeadershipOffer&)>;
+  using LeadershipOfferHandler = std::function<void(const LeadershipOffer&)>;
   /// Hears why a datagram could not be sent.
   using DropHandler = std::function<void(const std::string& problem)>;
   /// Hears of a datagram that could not be read, and is left alone.
-  using UnreadHandler = std::function<void(const UndecodableMessage&)>;
+  using UndecodableHandler = std::function<void(const UndecodableMessage&)>;
 
   /// What to do with each kind of message.
   struct Handlers {
-    ReportHandler reported;
-    NoticeHandler noticed;
-    AnswerHandler answered;
-    OfferHandler offered;
-    QuarantineHandler quarantined;
-    SharingHandler shared;
-    CreditQuestionHandler credit_asked;
-    CreditAnswerHandler credit_answered;
-    RelayPlanHandler planned;
-    ServersQuestionHandler servers_asked;
-    ServersPageHandler servers_answered;
-    ConfigurationQuestionHandler configuration_asked;
-    ConfigurationPartHandler configuration_answered;
-    PermitQuestionHandler permit_asked;
-    PermitAnswerHandler permit_answered;
-    DropHandler dropped;
-    UnreadHandler unread;
+    ReportHandler on_report;
+    NoticeHandler on_placement_notice;
+    AnswerHandler on_change_answer;
+    LeadershipOfferHandler on_leadership_offer;
+    QuarantineHandler on_quarantine_notice;
+    SharingHandler on_credit_sharing;
+    CreditQuestionHandler on_credit_question;
+    CreditAnswerHandler on_credit_answer;
+    RelayPlanHandler on_relay_plan;
+    ServersQuestionHandler on_servers_question;
+    ServersPageHandler on_servers_page;
+    ConfigurationQuestionHandler on_configuration_question;
+    ConfigurationPartHandler on_configuration_part;
+    PermitQuestionHandler on_permit_question;
+    PermitAnswerHandler on_permit_answer;
+    DropHandler on_drop;
+    UndecodableHandler on_undecodable;
   };
 
   /// @throws ListenError when the address cannot be bound.
@@ -92,15 +92,15 @@
   using Time = BootClock::time_point;
 
   void Receive();
-  void Take(std::size_t length);
+  void HandleDatagram(std::size_t length);
   void Dispatch(FleetMessage message, const std::string& from);
   void Send(const FleetMessage& message, const boost::asio::ip::udp::endpoint& to);
 
-  static constexpr std::size_t kLongestDatagram = 8 * 1024;
+  static constexpr std::size_t kMaxDatagramBytes = 8 * 1024;
 
   boost::asio::ip::udp::socket socket_;
   Handlers handlers_;
-  std::array<char, kLongestDatagram> buffer_{};
+  std::array<char, kMaxDatagramBytes> buffer_{};
   boost::asio::ip::udp::endpoint from_;
   std::map<boost::asio::ip::udp::endpoint, Time> reporters_;
 };
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -24,25 +24,25 @@
 /// the first order; from then on the leader follows its own orders.
 struct ManagedServer {
   std::string id;
-  bool known = false;      ///< Its state and order count were read and nothing is uncertain.
-  bool operating = false;  ///< An order or a question is under way.
+  bool state_known = false;  ///< Its state and order count were read and nothing is uncertain.
+  bool operation_pending = false;  ///< An order or a question is under way.
   std::int64_t order_count = 0;
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
   std::int64_t life = 0;  ///< Of the server, as ServerRecord has it.
-  std::string incoming;
+  std::string loading_model;
   bool from_weight_store = false;  ///< Of `incoming`.
-  SteadyTime load_began{};         ///< The same.
-  std::chrono::milliseconds load_stated{0};
-  std::size_t loads_together = 0;  ///< From the weight store, when it began.
-  SteadyTime ready_at{};           ///< When `incoming` is expected to be there.
-  std::string intended;
+  SteadyTime load_started{};       ///< The same.
+  std::chrono::milliseconds expected_load_time{0};
+  std::size_t concurrent_loads = 0;  ///< From the weight store, when it began.
+  SteadyTime ready_at{};             ///< When `incoming` is expected to be there.
+  std::string reserved_for;
   SteadyTime not_before{};  ///< After a failure: no order earlier than this.
 };
 
 struct ControllerSettings {
-  std::string holder;  ///< Name of this machine in orders.
+  std::string holder;  ///< OutcomeName of this machine in orders.
   std::chrono::milliseconds load_window{5'000};
 };
 
@@ -50,11 +50,11 @@
 /// with the fencing token, the incarnation and the server's order count. One thread.
 class FleetController {
  public:
-  using NoticeHandler = std::function<void(const PlacementNotice&)>;
+  using PlacementNoticeHandler = std::function<void(const PlacementNotice&)>;
 
   FleetController(boost::asio::io_context& context, const FleetProtocol& protocol, FleetView& view,
                   LeaderElection& election, ServerStatements& statements, GatewayMetrics& metrics,
-                  EventLog& log, ControllerSettings settings, NoticeHandler notice);
+                  EventLog& log, ControllerSettings settings, PlacementNoticeHandler notice);
 
   void Start();
   void AddReport(const DemandReport& report);
@@ -64,7 +64,7 @@
   std::size_t sending() const { return sending_; }
 
  private:
-  using ManagedPtr = std::shared_ptr<ManagedServer>;
+  using ManagedServerPtr = std::shared_ptr<ManagedServer>;
 
   void Tick();
   void PlanSoon();
@@ -74,69 +74,69 @@
   void PlanAdapters();
   void PlanAdapters(const ServiceDescription& service);
   void PlanAdaptersSoon();
-  void Begin(const std::vector<PlacementStep>& steps);
+  void StartSteps(const std::vector<PlacementStep>& steps);
   void PlanService(const ServiceDescription& service);
-  PlannedServer Describe(const Server& server);
-  ManagedPtr Managed(const std::string& id);
+  PlannedServer MakePlannedServer(const Server& server);
+  ManagedServerPtr FindOrCreateManaged(const std::string& id);
   /// @return what is known of that life of the server.
-  ManagedPtr ManagedLife(const ServerRecord& record);
+  ManagedServerPtr ManagedForRecord(const ServerRecord& record);
   /// @return whether the server has not started again since, as far as known.
-  bool Current(const ManagedPtr& managed) const;
-  void Forget();
-  void NoteTerm();
-  void Begin(const PlacementStep& step, const Server& server);
-  Awaitable<void> CarryOut(ManagedPtr managed, PlacementStep step, ServerOrder order,
-                           Endpoint endpoint);
-  Awaitable<void> AwaitDone(const ManagedPtr& managed, const PlacementStep& step,
-                            const Endpoint& endpoint);
+  bool IsCurrent(const ManagedServerPtr& managed) const;
+  void RemoveMissingServers();
+  void ResetOnNewTerm();
+  void StartStep(const PlacementStep& step, const Server& server);
+  Awaitable<void> ExecuteOrder(ManagedServerPtr managed, PlacementStep step, ServerOrder order,
+                               Endpoint endpoint);
+  Awaitable<void> AwaitCompletion(const ManagedServerPtr& managed, const PlacementStep& step,
+                                  const Endpoint& endpoint);
   /// @return how long the server still wants nothing of this daemon.
-  BootClock::duration PauseOf(const std::string& id) const;
-  Awaitable<void> AskState(ManagedPtr managed, Endpoint endpoint);
+  BootClock::duration RemainingPause(const std::string& id) const;
+  Awaitable<void> QueryState(ManagedServerPtr managed, Endpoint endpoint);
   Awaitable<std::optional<ServerStatus>> ReadReport(const std::string& id, Endpoint endpoint);
   /// Takes over what an answer to an order or a question says of its server.
-  void NoteStatement(const std::string& id, const HttpResponse& response, SteadyTime sent_at);
+  void RecordStatement(const std::string& id, const HttpResponse& response, SteadyTime sent_at);
   Awaitable<ServerOrderOutcome> SendOrder(const ServerOrder& order, const Endpoint& endpoint);
-  void TakeOutcome(ManagedServer& managed, const PlacementStep& step, ServerOrderOutcome outcome);
-  void TakeReport(ManagedServer& managed, const ServerStatus& report);
-  std::size_t StoreLoadsUnderWay() const;
+  void ApplyOutcome(ManagedServer& managed, const PlacementStep& step, ServerOrderOutcome outcome);
+  void ApplyReport(ManagedServer& managed, const ServerStatus& report);
+  std::size_t ActiveStoreLoads() const;
   /// Lets the limit learn from loads that take too long, before they end.
-  void NoteSlowLoads();
+  void RecordSlowLoads();
   /// @return the longest that a model of the service takes from the weight store alone.
-  static std::chrono::milliseconds LongestLoad(const EngineDescription& engine);
+  static std::chrono::milliseconds LongestLoadTime(const EngineDescription& engine);
   /// Counts the order that a server has taken, and what it did at once.
-  static void TakeAdapterChange(ManagedServer& managed, const PlacementStep& step);
+  static void ApplyAdapterChange(ManagedServer& managed, const PlacementStep& step);
   void Notify(const ManagedServer& managed, const ModelReference& name, bool held);
-  void NoteOrder(const ServerOrder& order, ServerOrderOutcome outcome);
+  void RecordOrder(const ServerOrder& order, ServerOrderOutcome outcome);
 
   boost::asio::io_context& context_;
   const FleetProtocol& protocol_;
-  FleetView& view_;
+  FleetView& fleet_view_;
   LeaderElection& election_;
   ServerStatements& statements_;
   GatewayMetrics& metrics_;
   EventLog& log_;
   ControllerSettings settings_;
-  NoticeHandler notice_;
+  PlacementNoticeHandler send_notice_;
   HttpClient client_;
   BootTimer timer_;
   /// When one kind of plan may be made again.
-  struct Pace {
-    explicit Pace(boost::asio::io_context& context) : timer(context) {}
+  struct PlanThrottle {
+    explicit PlanThrottle(boost::asio::io_context& context) : timer(context) {}
     BootTimer timer;
     SteadyTime not_before{};
     bool pending = false;
   };
   /// Runs `plan` at once, or when the pace allows it.
-  void Soon(Pace& pace, void (FleetController::*plan)());
+  void SchedulePlan(PlanThrottle& throttle, void (FleetController::*plan)());
   /// A plan that began then has ended.
-  static void Rest(Pace& pace, SteadyTime began);
+  static void SetNextPlanTime(PlanThrottle& throttle, SteadyTime began);
 
-  Pace whole_pace_;
-  Pace adapter_pace_;
+  PlanThrottle full_plan_throttle_;
+  PlanThrottle adapter_plan_throttle_;
   FleetDemand demand_;
-  std::map<std::string, ManagedPtr> managed_;
+  std::map<std::string, ManagedServerPtr> managed_;
   StoreLoadLimit store_limit_;
-  std::int64_t term_ = 0;  ///< Fencing token of the term that `managed_` belongs to.
+  std::int64_t managed_term_ = 0;  ///< Fencing token of the term that `managed_` belongs to.
   std::size_t sending_ = 0;
   bool stopped_ = false;
 };
--- a/src/fleet/fleet_demand.cc
+++ b/src/fleet/fleet_demand.cc
@@ -8,9 +8,9 @@
 namespace moorfold {
 
 namespace {
-constexpr double kAverageOverS = 4;  ///< Time constant of the rates.
-constexpr std::chrono::milliseconds kReportLife{1'500};
-constexpr std::chrono::seconds kForgetAfter{60};
+constexpr double kShortTermTimeConstantS = 4;  ///< Time constant of the rates.
+constexpr std::chrono::milliseconds kReportTimeout{1'500};
+constexpr std::chrono::seconds kEntryTimeout{60};
 
 double Seconds(BootClock::duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -18,44 +18,45 @@
 }  // namespace
 
 void FleetDemand::Decay(Entry& entry, Time now) {
-  const double passed_s = Seconds(now - entry.rated_at);
-  const double share = std::exp(-passed_s / kAverageOverS);
-  entry.long_term_arrivals_per_second *= std::exp(-passed_s / kUsualOverS);
-  entry.arrivals_per_second *= share;
-  entry.late_per_second *= share;
-  entry.rated_at = now;
+  const double passed_s = Seconds(now - entry.decayed_at);
+  const double decay = std::exp(-passed_s / kShortTermTimeConstantS);
+  entry.long_term_arrivals_per_second *= std::exp(-passed_s / kLongTermTimeConstantS);
+  entry.arrivals_per_second *= decay;
+  entry.late_responses_per_second *= decay;
+  entry.decayed_at = now;
 }
 
 bool FleetDemand::Unreachable(const std::string& server_id, Time now) const {
-  constexpr std::chrono::milliseconds kBelieved{1'500};
-  constexpr int kWitnesses = 2;
+  constexpr std::chrono::milliseconds kReportValidity{1'500};
+  constexpr int kRequiredReporters = 2;
   const auto found = unreachable_.find(server_id);
   if (found == unreachable_.end()) return false;
-  int witnesses = 0;
-  for (const auto& [sender, at] : found->second) witnesses += now - at < kBelieved ? 1 : 0;
-  return witnesses >= kWitnesses;
+  int recent_reporters = 0;
+  for (const auto& [sender, at] : found->second)
+    recent_reporters += now - at < kReportValidity ? 1 : 0;
+  return recent_reporters >= kRequiredReporters;
 }
 
-void FleetDemand::ForgetUnreachable(Time now) {
+void FleetDemand::RemoveExpiredUnreachable(Time now) {
   // Not with each report, or the work would grow with the square of the daemons.
-  constexpr std::chrono::seconds kForgetEvery{1};
-  if (now < forget_next_) return;
-  forget_next_ = now + kForgetEvery;
+  constexpr std::chrono::seconds kCleanupInterval{1};
+  if (now < next_cleanup_) return;
+  next_cleanup_ = now + kCleanupInterval;
   std::erase_if(unreachable_, [&](const auto& server) {
     return std::all_of(server.second.begin(), server.second.end(),
-                       [&](const auto& sender) { return now - sender.second > kForgetAfter; });
+                       [&](const auto& sender) { return now - sender.second > kEntryTimeout; });
   });
 }
 
 void FleetDemand::Add(const DemandReport& report, Time now) {
-  ForgetUnreachable(now);
+  RemoveExpiredUnreachable(now);
   for (const std::string& server : report.unreachable) unreachable_[server][report.sender] = now;
   for (const DemandEntry& reported : report.entries) {
     Entry& entry = services_[reported.service][reported.name];
     Decay(entry, now);
-    entry.arrivals_per_second += reported.arrivals / kAverageOverS;
-    entry.long_term_arrivals_per_second += reported.arrivals / kUsualOverS;
-    entry.late_per_second += reported.late / kAverageOverS;
+    entry.arrivals_per_second += reported.arrivals / kShortTermTimeConstantS;
+    entry.long_term_arrivals_per_second += reported.arrivals / kLongTermTimeConstantS;
+    entry.late_responses_per_second += reported.late / kShortTermTimeConstantS;
     entry.senders[report.sender] = {reported.waiting, reported.in_flight, now};
     if (reported.arrivals > 0 || reported.waiting > 0) entry.last_seen = now;
     if (reported.in_flight > 0)
@@ -65,24 +66,25 @@
   }
 }
 
-std::map<ModelReference, ModelDemand> FleetDemand::Of(const std::string& service, Time now) {
+std::map<ModelReference, ModelDemand> FleetDemand::ForService(const std::string& service,
+                                                              Time now) {
   std::map<ModelReference, ModelDemand> demand;
   std::map<ModelReference, Entry>& entries = services_[service];
   std::erase_if(entries, [&](const auto& entry) {
-    return now - entry.second.last_seen > kForgetAfter &&
-           now - entry.second.rated_at > kForgetAfter;
+    return now - entry.second.last_seen > kEntryTimeout &&
+           now - entry.second.decayed_at > kEntryTimeout;
   });
   for (auto& [name, entry] : entries) {
     Decay(entry, now);
     std::erase_if(entry.senders,
-                  [&](const auto& sender) { return now - sender.second.at > kReportLife; });
+                  [&](const auto& sender) { return now - sender.second.at > kReportTimeout; });
     ModelDemand& sum = demand[name];
     for (const auto& [sender, state] : entry.senders) {
       sum.waiting += state.waiting;
       sum.in_flight += state.in_flight;
     }
     sum.arrivals_per_second = entry.arrivals_per_second;
-    sum.late_per_second = entry.late_per_second;
+    sum.late_responses_per_second = entry.late_responses_per_second;
     sum.long_term_arrivals_per_second = entry.long_term_arrivals_per_second;
     sum.last_seen = entry.last_seen;
     if (entry.unserved_since != Time{}) sum.unserved_s = Seconds(now - entry.unserved_since);
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -10,12 +10,12 @@
 /// Over which a better placement has to pay for its loads and for what makes room for it: demand
 /// is not foreseen beyond. Against 10 s it serves 0.040
 /// more of what callers are owed (standard error 0.009, paired days of one deployment); 3 s alike.
-constexpr double kHorizonS = 5;
+constexpr double kPlanningHorizonS = 5;
 /// Request-seconds that making room costs beside what the victim is worth: the server takes no
 /// other order meanwhile and forgets the victim's prompts, and the victim may be missed elsewhere.
 /// Gains 0.023 of what callers are owed (0.744 -> 0.767, days of one deployment); no other value
 /// was measured.
-constexpr double kEvictionCost = 2.5;
+constexpr double kEvictionOverhead = 2.5;
 /// Request-seconds a second that a fleet loses while none of its servers takes orders. A server
 /// that loads from the weight store takes none for seconds, and costs its share: in a large fleet
 /// others can take the next model. 36 is 4 for each of 9 servers; 4 a server gained 0.026 of what
@@ -25,20 +25,20 @@
 constexpr double kBlockedServerCost = 4;
 /// Demand that was just seen first is taken to last at least so long: the fast average needs as
 /// long to tell it from chance.
-constexpr double kShortestDemandS = 4;
+constexpr double kMinDemandDurationS = 4;
 /// From there on the two averages differ by chance.
-constexpr double kMostCaughtUp = 0.95;
+constexpr double kMaxAverageRatio = 0.95;
 /// What a change must bring beyond its cost, in request-seconds: estimates are noisy.
-constexpr double kLeastBenefit = 0.5;
+constexpr double kMinBenefit = 0.5;
 /// A model that requests wait for comes before any that would only ease others.
-constexpr double kWaitingWorth = 3;
+constexpr double kWaitingRequestWeight = 3;
 /// What the gain of a model that is waited for grows by with each second in which none of its
 /// requests was served: whatever others are worth, its turn comes within some tens of seconds.
-constexpr double kUnservedWorth = 0.5;
+constexpr double kUnservedSecondWeight = 0.5;
 /// Of an adapter: more requests than this share of what a server bears, and it gets another server.
-constexpr double kAdapterShare = 0.5;
+constexpr double kAdapterLoadShare = 0.5;
 /// Models placed by one plan, the most urgent first; the next plan comes soon.
-constexpr std::size_t kMostWants = 16;
+constexpr std::size_t kMaxCandidatesPerPlan = 16;
 
 bool Contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
@@ -56,23 +56,24 @@
       limits_(limits),
       value_(limits.requests_per_server, now) {
   for (const ModelDescription& model : engine_.models) descriptions_[model.name] = &model;
-  CountCopies();
+  CountReplicas();
   for (const auto& [name, demanded] : demand_) {
-    ModelDemand& whole = by_model_[name.model];
-    whole.in_flight += demanded.in_flight;
-    whole.arrivals_per_second += demanded.arrivals_per_second;
-    whole.long_term_arrivals_per_second += demanded.long_term_arrivals_per_second;
-    whole.last_seen = std::max(whole.last_seen, demanded.last_seen);
-    whole.late_per_second += demanded.late_per_second;
-    whole.unserved_s = std::max(whole.unserved_s, demanded.unserved_s);
+    ModelDemand& total = demand_by_model_[name.model];
+    total.in_flight += demanded.in_flight;
+    total.arrivals_per_second += demanded.arrivals_per_second;
+    total.long_term_arrivals_per_second += demanded.long_term_arrivals_per_second;
+    total.last_seen = std::max(total.last_seen, demanded.last_seen);
+    total.late_responses_per_second += demanded.late_responses_per_second;
+    total.unserved_s = std::max(total.unserved_s, demanded.unserved_s);
     // A request that waits for an adapter waits for its model only where the model is nowhere.
-    const bool adapter_only = !name.adapter.empty() && Copies(name.model) > 0;
-    if (!adapter_only) whole.waiting += demanded.waiting;
+    const bool adapter_only = !name.adapter.empty() && ReplicaCount(name.model) > 0;
+    if (!adapter_only) total.waiting += demanded.waiting;
   }
   for (const PlannedServer& server : servers_)
     for (const HeldModel& held : server.models)
-      if (const auto found = by_model_.find(held.name); server.serving && found != by_model_.end())
-        ++found->second.standing;
+      if (const auto found = demand_by_model_.find(held.name);
+          server.serving && found != demand_by_model_.end())
+        ++found->second.serving_servers;
 }
 
 std::vector<PlacementStep> PlacementPlanner::Plan() {
@@ -86,33 +87,33 @@
   return steps_;
 }
 
-const ModelDescription* PlacementPlanner::Describe(const std::string& model) const {
+const ModelDescription* PlacementPlanner::FindDescription(const std::string& model) const {
   const auto found = descriptions_.find(model);
   return found == descriptions_.end() ? nullptr : found->second;
 }
 
-ModelDemand PlacementPlanner::WholeDemand(const std::string& model) const {
-  const auto found = by_model_.find(model);
-  return found == by_model_.end() ? ModelDemand{} : found->second;
+ModelDemand PlacementPlanner::TotalDemand(const std::string& model) const {
+  const auto found = demand_by_model_.find(model);
+  return found == demand_by_model_.end() ? ModelDemand{} : found->second;
 }
 
-double PlacementPlanner::RateOf(const ModelReference& name) const {
+double PlacementPlanner::RequestRateOf(const ModelReference& name) const {
   const auto found = demand_.find(name);
   if (found == demand_.end()) return 0;
   return found->second.arrivals_per_second + found->second.in_flight + found->second.waiting;
 }
 
 double PlacementPlanner::HeldMegabytes(const HeldModel& held) const {
-  const ModelDescription* model = Describe(held.name);
+  const ModelDescription* model = FindDescription(held.name);
   if (model == nullptr) return 0;
   return model->weights_mb + model->adapter_mb * static_cast<double>(held.adapters.size());
 }
 
-double PlacementPlanner::FreeMegabytes(const PlannedServer& server) const {
+double PlacementPlanner::FreeWeightMegabytes(const PlannedServer& server) const {
   double free = engine_.weights_mb;
   for (const HeldModel& held : server.models) free -= HeldMegabytes(held);
-  if (const ModelDescription* incoming = Describe(server.incoming))
-    if (server.Find(server.incoming) == nullptr) free -= incoming->weights_mb;
+  if (const ModelDescription* loading_model = FindDescription(server.loading_model))
+    if (server.Find(server.loading_model) == nullptr) free -= loading_model->weights_mb;
   return free;
 }
 
@@ -122,22 +123,22 @@
   return count;
 }
 
-/// Copies that stand, are on their way or have room made for them.
-void PlacementPlanner::CountCopies() {
+/// ReplicaCount that stand, are on their way or have room made for them.
+void PlacementPlanner::CountReplicas() {
   for (const PlannedServer& server : servers_) {
     if (!server.serving) continue;
-    for (const HeldModel& held : server.models) ++copies_[held.name];
-    for (const std::string* expected : {&server.incoming, &server.intended})
+    for (const HeldModel& held : server.models) ++replica_counts_[held.name];
+    for (const std::string* expected : {&server.loading_model, &server.reserved_for})
       if (!expected->empty() && server.Find(*expected) == nullptr) {
-        ++copies_[*expected];
-        on_their_way_.insert(*expected);
+        ++replica_counts_[*expected];
+        pending_models_.insert(*expected);
       }
   }
 }
 
-std::size_t PlacementPlanner::Copies(const std::string& model) const {
-  const auto found = copies_.find(model);
-  return found == copies_.end() ? 0 : found->second;
+std::size_t PlacementPlanner::ReplicaCount(const std::string& model) const {
+  const auto found = replica_counts_.find(model);
+  return found == replica_counts_.end() ? 0 : found->second;
 }
 
 bool PlacementPlanner::FromWeightStore(const PlannedServer& server,
@@ -146,7 +147,7 @@
 }
 
 /// @return whether a server that lacks the model could load it without the weight store.
-bool PlacementPlanner::NearCopyExists(const std::string& model) const {
+bool PlacementPlanner::LocalCopyExists(const std::string& model) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const PlannedServer& server) {
     return server.serving && server.Find(model) == nullptr && !FromWeightStore(server, model);
   });
@@ -162,31 +163,33 @@
 }
 
 /// @return what is lost a second when the model leaves one of its servers.
-double PlacementPlanner::LossOf(const std::string& model) {
-  const auto [loss, fresh] = losses_.try_emplace(model, 0);
-  const ModelDescription* described = Describe(model);
-  if (fresh && described != nullptr)
-    loss->second =
-        value_.Loss(*described, WholeDemand(model), std::max<std::size_t>(1, Copies(model)));
+double PlacementPlanner::RemovalLossOf(const std::string& model) {
+  const auto [loss, inserted] = removal_losses_.try_emplace(model, 0);
+  const ModelDescription* description = FindDescription(model);
+  if (inserted && description != nullptr)
+    loss->second = value_.RemovalLoss(*description, TotalDemand(model),
+                                      std::max<std::size_t>(1, ReplicaCount(model)));
   return loss->second;
 }
 
 /// Demand that has lasted for some time is expected to last for as long again.
 /// @return the chance that the model's demand is still there after so many seconds.
-double PlacementPlanner::Lasts(const std::string& model, double seconds) const {
-  const ModelDemand demand = WholeDemand(model);
+double PlacementPlanner::DemandSurvivalProbability(const std::string& model, double seconds) const {
+  const ModelDemand demand = TotalDemand(model);
   if (demand.arrivals_per_second <= 0) return 0;
   // The slow average has come so far towards the fast one.
-  const double caught_up =
-      std::min(demand.long_term_arrivals_per_second / demand.arrivals_per_second, kMostCaughtUp);
-  const double lasted_s = -FleetDemand::kUsualOverS * std::log1p(-caught_up);
-  return std::exp(-seconds / std::max(kShortestDemandS, lasted_s));
+  const double average_ratio =
+      std::min(demand.long_term_arrivals_per_second / demand.arrivals_per_second, kMaxAverageRatio);
+  const double demand_duration_s =
+      -FleetDemand::kLongTermTimeConstantS * std::log1p(-average_ratio);
+  return std::exp(-seconds / std::max(kMinDemandDurationS, demand_duration_s));
 }
 
 std::optional<PlacementPlanner::Placement> PlacementPlanner::PlaceAt(PlannedServer& server,
                                                                      const ModelDescription& model,
-                                                                     double gain, bool near_copy) {
-  if (!server.accepts_orders || !server.intended.empty() || !server.incoming.empty())
+                                                                     double gain,
+                                                                     bool local_copy_exists) {
+  if (!server.accepts_orders || !server.reserved_for.empty() || !server.loading_model.empty())
     return std::nullopt;
   if (server.Find(model.name) != nullptr) return std::nullopt;
   const bool from_store = FromWeightStore(server, model.name);
@@ -194,128 +197,135 @@
   Placement placement{&server, 0, {}};
   const double load_s = LoadSeconds(server, model);
   // Where some server has the weights at hand, it is better to wait for that server's next turn.
-  const bool only_way = from_store && !near_copy;
-  if (Copies(model.name) > 0)  // One more pays only if the demand outlasts its load.
-    placement.cost += gain * kHorizonS * (1 - Lasts(model.name, load_s));
-  else if (!only_way)
+  const bool only_source = from_store && !local_copy_exists;
+  if (ReplicaCount(model.name) > 0)  // One more pays only if the demand outlasts its load.
+    placement.cost +=
+        gain * kPlanningHorizonS * (1 - DemandSurvivalProbability(model.name, load_s));
+  else if (!only_source)
     placement.cost += gain * load_s;
   if (from_store)
     placement.cost += load_s * std::min(kBlockedServerCost,
                                         kBlockedFleetCost / static_cast<double>(servers_.size()));
-  double free = FreeMegabytes(server);
+  double free = FreeWeightMegabytes(server);
   std::vector<const HeldModel*> held;
   for (const HeldModel& candidate : server.models) held.push_back(&candidate);
   std::sort(held.begin(), held.end(), [&](const HeldModel* left, const HeldModel* right) {
-    return LossOf(left->name) < LossOf(right->name);
+    return RemovalLossOf(left->name) < RemovalLossOf(right->name);
   });
   for (const HeldModel* candidate : held) {
     if (free >= model.weights_mb) break;
     free += HeldMegabytes(*candidate);
-    placement.cost += LossOf(candidate->name) * kHorizonS + kEvictionCost;
+    placement.cost += RemovalLossOf(candidate->name) * kPlanningHorizonS + kEvictionOverhead;
     placement.victims.push_back(candidate->name);
-    placement.takes_last_copy = placement.takes_last_copy || Copies(candidate->name) <= 1;
+    placement.evicts_last_replica =
+        placement.evicts_last_replica || ReplicaCount(candidate->name) <= 1;
   }
   if (free < model.weights_mb) return std::nullopt;
   return placement;
 }
 
-void PlacementPlanner::EmitLoad(PlannedServer& server, const ModelDescription& model) {
+void PlacementPlanner::AddLoadStep(PlannedServer& server, const ModelDescription& model) {
   const bool from_store = FromWeightStore(server, model.name);
   if (from_store) limits_.weight_store_loads -= 1;
   const auto expected = std::chrono::milliseconds(std::llround(
       LoadSeconds(server, model) * std::chrono::milliseconds(std::chrono::seconds(1)).count()));
   steps_.push_back({ServerOrderKind::kLoad, server.id, {model.name, ""}, "", from_store, expected});
-  ++copies_[model.name];
-  losses_.erase(model.name);
-  server.incoming = model.name;
-  server.intended.clear();
+  ++replica_counts_[model.name];
+  removal_losses_.erase(model.name);
+  server.loading_model = model.name;
+  server.reserved_for.clear();
   server.accepts_orders = false;
 }
 
-void PlacementPlanner::EmitUnload(PlannedServer& server, const std::string& model,
-                                  const std::string& intended) {
-  steps_.push_back({ServerOrderKind::kUnload, server.id, {model, ""}, intended, false, {}});
-  ++copies_[intended];
-  --copies_[model];
-  losses_.erase(model);
-  server.intended = intended;
+void PlacementPlanner::AddUnloadStep(PlannedServer& server, const std::string& model,
+                                     const std::string& reserved_for) {
+  steps_.push_back({ServerOrderKind::kUnload, server.id, {model, ""}, reserved_for, false, {}});
+  ++replica_counts_[reserved_for];
+  --replica_counts_[model];
+  removal_losses_.erase(model);
+  server.reserved_for = reserved_for;
   server.accepts_orders = false;
   std::erase_if(server.models, [&](const HeldModel& held) { return held.name == model; });
 }
 
 /// Room is being made there for a model: the next step towards it.
-bool PlacementPlanner::ContinueIntention(PlannedServer& server) {
-  const ModelDescription* model = Describe(server.intended);
-  if (model == nullptr || server.Find(server.intended) != nullptr) {
-    server.intended.clear();
+bool PlacementPlanner::ContinueReservation(PlannedServer& server) {
+  const ModelDescription* model = FindDescription(server.reserved_for);
+  if (model == nullptr || server.Find(server.reserved_for) != nullptr) {
+    server.reserved_for.clear();
     return false;
   }
-  const std::string intended = std::exchange(server.intended, "");
-  --copies_[intended];
+  const std::string reserved_for = std::exchange(server.reserved_for, "");
+  --replica_counts_[reserved_for];
   const std::optional<Placement> placement =
-      PlaceAt(server, *model, 0, NearCopyExists(model->name));
+      PlaceAt(server, *model, 0, LocalCopyExists(model->name));
   if (!placement) return false;
   if (placement->victims.empty())
-    EmitLoad(server, *model);
+    AddLoadStep(server, *model);
   else
-    EmitUnload(server, placement->victims.front(), intended);
+    AddUnloadStep(server, placement->victims.front(), reserved_for);
   return true;
 }
 
-void PlacementPlanner::PlaceModel(const Want& want) {
+void PlacementPlanner::PlaceModel(const ReplicaCandidate& candidate_model) {
   std::optional<Placement> best;
-  double best_benefit = kLeastBenefit;
+  double best_benefit = kMinBenefit;
   // The same for all servers: looked for once, or a plan takes the square of their number.
-  const bool near_copy = NearCopyExists(want.model->name);
+  const bool local_copy_exists = LocalCopyExists(candidate_model.model->name);
   for (PlannedServer& server : servers_) {
     std::optional<Placement> placement =
-        PlaceAt(server, *want.model, want.gain + want.late_gain, near_copy);
+        PlaceAt(server, *candidate_model.model, candidate_model.gain + candidate_model.late_gain,
+                local_copy_exists);
     if (!placement) continue;
-    const double gain = want.gain + (placement->takes_last_copy ? 0 : want.late_gain);
-    const double benefit = gain * kHorizonS - placement->cost;
+    const double gain =
+        candidate_model.gain + (placement->evicts_last_replica ? 0 : candidate_model.late_gain);
+    const double benefit = gain * kPlanningHorizonS - placement->cost;
     if (benefit < best_benefit) continue;
     best_benefit = benefit;
     best = std::move(placement);
   }
   if (!best) return;
   if (best->victims.empty())
-    EmitLoad(*best->server, *want.model);
+    AddLoadStep(*best->server, *candidate_model.model);
   else
-    EmitUnload(*best->server, best->victims.front(), want.model->name);
+    AddUnloadStep(*best->server, best->victims.front(), candidate_model.model->name);
 }
 
-std::vector<PlacementPlanner::Want> PlacementPlanner::Wants() const {
-  std::vector<Want> wants;
-  for (const auto& [name, demand] : by_model_) {
-    const ModelDescription* model = Describe(name);
+std::vector<PlacementPlanner::ReplicaCandidate> PlacementPlanner::RankCandidates() const {
+  std::vector<ReplicaCandidate> candidates;
+  for (const auto& [name, demand] : demand_by_model_) {
+    const ModelDescription* model = FindDescription(name);
     if (model == nullptr) continue;
-    const std::size_t copies = Copies(name);
-    const bool more = value_.Overloaded(demand, copies) || value_.Late(demand, copies);
-    if (OnItsWay(name) && !more) continue;
-    double gain = value_.Gain(*model, demand, copies);
-    if (copies == 0 && demand.waiting > 0)
-      gain += kWaitingWorth * demand.waiting + kUnservedWorth * demand.unserved_s;
-    const double late_gain = value_.LateGain(demand, copies);
-    if ((gain + late_gain) * kHorizonS > kLeastBenefit) wants.push_back({model, gain, late_gain});
+    const std::size_t replicas = ReplicaCount(name);
+    const bool more =
+        value_.Overloaded(demand, replicas) || value_.HasLateResponses(demand, replicas);
+    if (HasPendingReplica(name) && !more) continue;
+    double gain = value_.Gain(*model, demand, replicas);
+    if (replicas == 0 && demand.waiting > 0)
+      gain += kWaitingRequestWeight * demand.waiting + kUnservedSecondWeight * demand.unserved_s;
+    const double late_gain = value_.LateResponseGain(demand, replicas);
+    if ((gain + late_gain) * kPlanningHorizonS > kMinBenefit)
+      candidates.push_back({model, gain, late_gain});
   }
-  std::stable_sort(wants.begin(), wants.end(), [](const Want& left, const Want& right) {
-    return left.gain + left.late_gain > right.gain + right.late_gain;
-  });
-  return wants;
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const ReplicaCandidate& left, const ReplicaCandidate& right) {
+                     return left.gain + left.late_gain > right.gain + right.late_gain;
+                   });
+  return candidates;
 }
 
 void PlacementPlanner::PlanModels() {
   for (PlannedServer& server : servers_)
-    if (server.accepts_orders && !server.intended.empty()) ContinueIntention(server);
+    if (server.accepts_orders && !server.reserved_for.empty()) ContinueReservation(server);
   std::size_t placed = 0;
-  for (const Want& want : Wants()) {
-    if (placed++ >= kMostWants) break;
-    PlaceModel(want);
+  for (const ReplicaCandidate& candidate_model : RankCandidates()) {
+    if (placed++ >= kMaxCandidatesPerPlan) break;
+    PlaceModel(candidate_model);
   }
 }
 
 void PlacementPlanner::PlanAdapter(const ModelReference& name, const ModelDemand& demand) {
-  const ModelDescription* model = Describe(name.model);
+  const ModelDescription* model = FindDescription(name.model);
   if (model == nullptr) return;
   PlannedServer* best = nullptr;
   std::size_t holders = 0;
@@ -329,21 +339,22 @@
     if (!server.accepts_orders) continue;
     if (best == nullptr || AdaptersOn(server) < AdaptersOn(*best)) best = &server;
   }
-  const double borne = kAdapterShare * limits_.requests_per_server;
-  const bool enough = holders > 0 && demand.in_flight <= borne * static_cast<double>(holders);
+  const double requests_per_holder = kAdapterLoadShare * limits_.requests_per_server;
+  const bool enough =
+      holders > 0 && demand.in_flight <= requests_per_holder * static_cast<double>(holders);
   if (best == nullptr || enough) return;
   const bool room =
-      AdaptersOn(*best) < engine_.adapter_slots && FreeMegabytes(*best) >= model->adapter_mb;
+      AdaptersOn(*best) < engine_.adapter_slots && FreeWeightMegabytes(*best) >= model->adapter_mb;
   if (room) {
     steps_.push_back({ServerOrderKind::kLoad, best->id, name, "", false, {}});
     best->accepts_orders = false;
     return;
   }
   ModelReference victim;
-  double least = RateOf(name);
+  double least = RequestRateOf(name);
   for (const HeldModel& held : best->models)
     for (const std::string& adapter : held.adapters)
-      if (const double rate = RateOf({held.name, adapter}); rate < least) {
+      if (const double rate = RequestRateOf({held.name, adapter}); rate < least) {
         least = rate;
         victim = {held.name, adapter};
       }
--- a/src/fleet/placement_planner.h
+++ b/src/fleet/placement_planner.h
@@ -23,8 +23,8 @@
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
-  std::string incoming;  ///< Model that was ordered and is not there yet.
-  std::string intended;  ///< Model for which room is being made.
+  std::string loading_model;  ///< Model that was ordered and is not there yet.
+  std::string reserved_for;   ///< Model for which room is being made.
 
   const HeldModel* Find(const std::string& model) const {
     for (const HeldModel& held : models)
@@ -38,7 +38,7 @@
   ServerOrderKind kind = ServerOrderKind::kLoad;
   std::string server_id;
   ModelReference name;
-  std::string intended;            ///< Of an unload: the model for which room is made.
+  std::string reserved_for;        ///< Of an unload: the model for which room is made.
   bool from_weight_store = false;  ///< Of a load of a model.
   std::chrono::milliseconds expected{0};
 };
@@ -65,7 +65,7 @@
 
  private:
   /// A model that would be worth one more server.
-  struct Want {
+  struct ReplicaCandidate {
     const ModelDescription* model = nullptr;
     double gain = 0;       ///< Request-seconds a second.
     double late_gain = 0;  ///< The same, by answers that come late now.
@@ -75,46 +75,47 @@
     PlannedServer* server = nullptr;
     double cost = 0;  ///< Request-seconds, over the horizon.
     std::vector<std::string> victims;
-    bool takes_last_copy = false;  ///< A victim would stand nowhere then.
+    bool evicts_last_replica = false;  ///< A victim would stand nowhere then.
   };
 
   void PlanAdapters();
   void PlanAdapter(const ModelReference& name, const ModelDemand& demand);
   void PlanModels();
-  std::vector<Want> Wants() const;
-  void PlaceModel(const Want& want);
-  bool ContinueIntention(PlannedServer& server);
+  std::vector<ReplicaCandidate> RankCandidates() const;
+  void PlaceModel(const ReplicaCandidate& candidate_model);
+  bool ContinueReservation(PlannedServer& server);
   /// @return how to take the model there, or nothing if that cannot be done now.
-  /// @param near_copy whether some server could load the model without the weight store.
+  /// @param local_copy_exists whether some server could load the model without the weight store.
   std::optional<Placement> PlaceAt(PlannedServer& server, const ModelDescription& model,
-                                   double gain, bool near_copy);
-  double LossOf(const std::string& model);
-  double Lasts(const std::string& model, double seconds) const;
-  void CountCopies();
+                                   double gain, bool local_copy_exists);
+  double RemovalLossOf(const std::string& model);
+  double DemandSurvivalProbability(const std::string& model, double seconds) const;
+  void CountReplicas();
   double LoadSeconds(const PlannedServer& server, const ModelDescription& model) const;
-  bool NearCopyExists(const std::string& model) const;
+  bool LocalCopyExists(const std::string& model) const;
   bool FromWeightStore(const PlannedServer& server, const std::string& model) const;
-  double FreeMegabytes(const PlannedServer& server) const;
+  double FreeWeightMegabytes(const PlannedServer& server) const;
   std::size_t AdaptersOn(const PlannedServer& server) const;
   double HeldMegabytes(const HeldModel& held) const;
-  std::size_t Copies(const std::string& model) const;
-  bool OnItsWay(const std::string& model) const { return on_their_way_.contains(model); }
-  ModelDemand WholeDemand(const std::string& model) const;
-  double RateOf(const ModelReference& name) const;
-  const ModelDescription* Describe(const std::string& model) const;
-  void EmitLoad(PlannedServer& server, const ModelDescription& model);
-  void EmitUnload(PlannedServer& server, const std::string& model, const std::string& intended);
+  std::size_t ReplicaCount(const std::string& model) const;
+  bool HasPendingReplica(const std::string& model) const { return pending_models_.contains(model); }
+  ModelDemand TotalDemand(const std::string& model) const;
+  double RequestRateOf(const ModelReference& name) const;
+  const ModelDescription* FindDescription(const std::string& model) const;
+  void AddLoadStep(PlannedServer& server, const ModelDescription& model);
+  void AddUnloadStep(PlannedServer& server, const std::string& model,
+                     const std::string& reserved_for);
 
   const EngineDescription& engine_;
   std::unordered_map<std::string, const ModelDescription*> descriptions_;
-  std::unordered_map<std::string, std::size_t> copies_;
-  std::unordered_set<std::string> on_their_way_;    ///< Models with a copy that does not stand yet.
-  std::unordered_map<std::string, double> losses_;  ///< Of models, as far as asked for.
+  std::unordered_map<std::string, std::size_t> replica_counts_;
+  std::unordered_set<std::string> pending_models_;  ///< Models with a copy that does not stand yet.
+  std::unordered_map<std::string, double> removal_losses_;  ///< Of models, as far as asked for.
   std::map<ModelReference, ModelDemand> demand_;
   std::vector<PlannedServer> servers_;
   PlannerLimits limits_;
   PlacementValue value_;
-  std::map<std::string, ModelDemand> by_model_;
+  std::map<std::string, ModelDemand> demand_by_model_;
   std::vector<PlacementStep> steps_;
 };
 
--- a/src/fleet/placement_value.h
+++ b/src/fleet/placement_value.h
@@ -20,27 +20,29 @@
       : requests_per_server_(requests_per_server), now_(now) {}
 
   /// @return what is lost while `copies` servers hold the model.
-  double Cost(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const;
+  double Cost(const ModelDescription& model, const ModelDemand& demand, std::size_t replicas) const;
   /// @return what one more copy saves.
-  double Gain(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const {
-    return Cost(model, demand, copies) - Cost(model, demand, copies + 1);
+  double Gain(const ModelDescription& model, const ModelDemand& demand,
+              std::size_t replicas) const {
+    return Cost(model, demand, replicas) - Cost(model, demand, replicas + 1);
   }
   /// @return whether there is more work than that many servers do in time.
-  bool Overloaded(const ModelDemand& demand, std::size_t copies) const {
-    return Load(demand) > static_cast<double>(copies);
+  bool Overloaded(const ModelDemand& demand, std::size_t replicas) const {
+    return RequiredServers(demand) > static_cast<double>(replicas);
   }
   /// @return what one more copy saves by answers that come in time. It is apart from `Gain` since
   /// it weighs less than a model that stands nowhere: it is no reason to take a last copy away.
-  double LateGain(const ModelDemand& demand, std::size_t copies) const;
+  double LateResponseGain(const ModelDemand& demand, std::size_t replicas) const;
   /// @return whether answers would still come late with that many copies.
-  bool Late(const ModelDemand& demand, std::size_t copies) const;
+  bool HasLateResponses(const ModelDemand& demand, std::size_t replicas) const;
   /// @return what one copy fewer costs; `copies` is at least 1.
-  double Loss(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const;
+  double RemovalLoss(const ModelDescription& model, const ModelDemand& demand,
+                     std::size_t replicas) const;
 
  private:
-  double ExpectedRate(const ModelDemand& demand) const;
-  double Load(const ModelDemand& demand) const;
-  static double LatePerSecond(const ModelDemand& demand, double copies);
+  double ExpectedArrivalsPerSecond(const ModelDemand& demand) const;
+  double RequiredServers(const ModelDemand& demand) const;
+  static double ExpectedLatePerSecond(const ModelDemand& demand, double replicas);
 
   double requests_per_server_;
   Time now_;
--- a/test/fleet/fleet_demand_test.cc
+++ b/test/fleet/fleet_demand_test.cc
@@ -32,14 +32,14 @@
   FleetDemand demand;
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 1, 2, 3}}), kNow);
   demand.Add(MakeReport("two", {{"s", {"m", ""}, 4, 0, 1}}), kNow);
-  const auto both = demand.Of("s", kNow);
+  const auto both = demand.ForService("s", kNow);
   CHECK(both.at({"m", ""}).waiting == 5);
   CHECK(both.at({"m", ""}).in_flight == 2);
   CHECK(both.at({"m", ""}).arrivals_per_second == Approx(1));
-  const auto later = demand.Of("s", kNow + seconds(2));
+  const auto later = demand.ForService("s", kNow + seconds(2));
   CHECK(later.at({"m", ""}).waiting == 0);
   CHECK(later.at({"m", ""}).arrivals_per_second < 1);
-  CHECK(demand.Of("other", kNow).empty());
+  CHECK(demand.ForService("other", kNow).empty());
 }
 
 TEST_CASE("How long a model is unserved counts over repeated waits, and ends with a served one") {
@@ -47,9 +47,9 @@
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 1, 0, 1}}), kNow);
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 0, 0, 0}}), kNow + seconds(2));
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 1, 0, 1}}), kNow + seconds(5));
-  CHECK(demand.Of("s", kNow + seconds(6)).at({"m", ""}).unserved_s == Approx(6));
+  CHECK(demand.ForService("s", kNow + seconds(6)).at({"m", ""}).unserved_s == Approx(6));
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 0, 1, 0}}), kNow + seconds(7));
-  CHECK(demand.Of("s", kNow + seconds(8)).at({"m", ""}).unserved_s == 0);
+  CHECK(demand.ForService("s", kNow + seconds(8)).at({"m", ""}).unserved_s == 0);
 }
 
 TEST_CASE("Late answers are told to the leader once, and fade") {
@@ -61,9 +61,10 @@
   CHECK(book.Take().empty());
   FleetDemand demand;
   demand.Add(MakeReport("one", entries), kNow);
-  const double now = demand.Of("s", kNow).at({"m", ""}).late_per_second;
+  const double now = demand.ForService("s", kNow).at({"m", ""}).late_responses_per_second;
   CHECK(now > 0.5);
-  CHECK(demand.Of("s", kNow + seconds(8)).at({"m", ""}).late_per_second < now / 4);
+  CHECK(demand.ForService("s", kNow + seconds(8)).at({"m", ""}).late_responses_per_second <
+        now / 4);
 }
 
 TEST_CASE("A server is out of reach when two daemons say so, not one that may itself be cut off") {
--- a/test/fleet/placement_test.cc
+++ b/test/fleet/placement_test.cc
@@ -69,7 +69,7 @@
   CHECK_FALSE(steps[0].from_weight_store);
   CHECK(steps[0].expected == milliseconds(400));
   SECTION("and not while it is on its way") {
-    memory.incoming = "a";
+    memory.loading_model = "a";
     CHECK(Plan({{{"a", ""}, Waiting(5)}}, {MakeServer("store", {}), disk, memory}).empty());
   }
 }
@@ -86,7 +86,7 @@
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kUnload);
   CHECK(steps[0].name.model == "c");
-  CHECK(steps[0].intended == "a");
+  CHECK(steps[0].reserved_for == "a");
   SECTION("a busy only copy is not given up for one request") {
     CHECK(Plan({{{"a", ""}, Waiting(1)}, {{"b", ""}, Busy(8)}, {{"c", ""}, Busy(8)}},
                {MakeServer("i", {"b", "c"})})
@@ -103,7 +103,7 @@
 
 TEST_CASE("Room that was made for a model is used for it") {
   PlannedServer server = MakeServer("i", {"b"});
-  server.intended = "a";
+  server.reserved_for = "a";
   const auto steps = Plan({}, {server});
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kLoad);
@@ -152,7 +152,7 @@
   demand[{"a", ""}].unserved_s = 60;
   const auto steps = Plan(demand, servers);
   REQUIRE(steps.size() == 1);
-  CHECK(steps[0].intended == "a");
+  CHECK(steps[0].reserved_for == "a");
 }
 
 TEST_CASE("Adapters go beside their model, and the least asked one makes room") {
@@ -182,9 +182,9 @@
           planned.models.push_back({name, {}});
       if (!planned.models.empty() && *rc::gen::arbitrary<bool>())
         planned.models[0].adapters = {"x", "y"};
-      if (*rc::gen::inRange(0, 4) == 0) planned.intended = *rc::gen::elementOf(names);
+      if (*rc::gen::inRange(0, 4) == 0) planned.reserved_for = *rc::gen::elementOf(names);
       if (planned.models.size() < 2 && *rc::gen::inRange(0, 5) == 0)
-        planned.incoming = *rc::gen::elementOf(names);
+        planned.loading_model = *rc::gen::elementOf(names);
       servers.push_back(planned);
     }
     std::map<ModelReference, ModelDemand> demand;
@@ -203,13 +203,13 @@
       if (step.kind == ServerOrderKind::kUnload) continue;
       double used = step.name.adapter.empty() ? 90 : 5;
       std::size_t adapters = step.name.adapter.empty() ? 0 : 1;
-      bool incoming_held = server.incoming.empty();
+      bool loading_model_held = server.loading_model.empty();
       for (const HeldModel& held : server.models) {
         used += 90 + 5.0 * static_cast<double>(held.adapters.size());
         adapters += held.adapters.size();
-        incoming_held = incoming_held || held.name == server.incoming;
+        loading_model_held = loading_model_held || held.name == server.loading_model;
       }
-      if (!incoming_held) used += 90;
+      if (!loading_model_held) used += 90;
       RC_ASSERT(used <= engine.weights_mb);
       RC_ASSERT(adapters <= engine.adapter_slots);
     }
@@ -254,7 +254,7 @@
     servers.push_back(MakeServer("free-" + std::to_string(server), {}));
   ModelDemand demand = Busy(20);
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());  // In time.
-  demand.late_per_second = 5;
+  demand.late_responses_per_second = 5;
   const std::vector<PlacementStep> steps = PlanLongLoads({{{"a", ""}, demand}}, servers);
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kLoad);
@@ -264,13 +264,13 @@
   // A small fleet has no server to spare for seconds.
   demand.long_term_arrivals_per_second = demand.arrivals_per_second;
   servers.resize(3);
-  demand.late_per_second = 1;
+  demand.late_responses_per_second = 1;
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());
 }
 
 TEST_CASE("A late answer is no reason to take a model's last copy, a surplus copy makes room") {
   ModelDemand late = Busy(20);
-  late.late_per_second = 10;
+  late.late_responses_per_second = 10;
   ModelDemand rare = Busy(0);
   rare.long_term_arrivals_per_second = 0.05;
   PlannedServer near = MakeServer("near", {"b", "c"});
@@ -291,13 +291,13 @@
   for (int server = 0; server < 19; ++server)
     servers.push_back(MakeServer("free-" + std::to_string(server), {}));
   ModelDemand demand = Busy(20);
-  demand.late_per_second = 5;
+  demand.late_responses_per_second = 5;
   std::size_t on_their_way = 0;
   while (on_their_way < servers.size()) {
     const std::vector<PlacementStep> steps = Plan({{{"a", ""}, demand}}, servers);
     if (steps.empty()) break;
     for (PlannedServer& server : servers)
-      if (server.id == steps[0].server_id) server.incoming = "a";
+      if (server.id == steps[0].server_id) server.loading_model = "a";
     ++on_their_way;
   }
   CHECK(on_their_way >= 1);
--- a/test/fleet/placement_value_test.cc
+++ b/test/fleet/placement_value_test.cc
@@ -31,17 +31,17 @@
 
 TEST_CASE("The last copy is worth more the more often its model is asked for") {
   const PlacementValue value(kRequestsPerServer, kNow);
-  const double rare = value.Loss(MakeModel(), MakeDemand(0, 0.1), 1);
-  const double usual = value.Loss(MakeModel(), MakeDemand(0, 1), 1);
+  const double rare = value.RemovalLoss(MakeModel(), MakeDemand(0, 0.1), 1);
+  const double usual = value.RemovalLoss(MakeModel(), MakeDemand(0, 1), 1);
   CHECK(rare > 0);
   CHECK(usual > 5 * rare);
-  CHECK(value.Loss(MakeModel(), MakeDemand(0, 0.1), 2) < rare);
+  CHECK(value.RemovalLoss(MakeModel(), MakeDemand(0, 0.1), 2) < rare);
 }
 
 TEST_CASE("A model that demand has left is worth little, however busy it was") {
   const PlacementValue value(kRequestsPerServer, kNow);
-  CHECK(value.Loss(MakeModel(), MakeDemand(0, 15, seconds(10)), 1) <
-        value.Loss(MakeModel(), MakeDemand(0, 0.5), 1));
+  CHECK(value.RemovalLoss(MakeModel(), MakeDemand(0, 15, seconds(10)), 1) <
+        value.RemovalLoss(MakeModel(), MakeDemand(0, 0.5), 1));
 }
 
 TEST_CASE("Work beyond what the servers bear counts in full") {
@@ -56,14 +56,14 @@
 TEST_CASE("Late answers make copies worth more, each less than the one before") {
   const PlacementValue value(kRequestsPerServer, kNow);
   ModelDemand demand = MakeDemand(10, 10);
-  demand.standing = 2;
-  CHECK(value.LateGain(demand, 2) == 0);
-  demand.late_per_second = 4;
-  CHECK(value.Late(demand, 2));
-  CHECK_FALSE(value.Late(demand, 8));
-  CHECK(value.LateGain(demand, 2) > 3);
-  CHECK(value.LateGain(demand, 3) < value.LateGain(demand, 2));
-  CHECK(value.LateGain(demand, 0) == 0);  // Nothing is late where nothing stands.
+  demand.serving_servers = 2;
+  CHECK(value.LateResponseGain(demand, 2) == 0);
+  demand.late_responses_per_second = 4;
+  CHECK(value.HasLateResponses(demand, 2));
+  CHECK_FALSE(value.HasLateResponses(demand, 8));
+  CHECK(value.LateResponseGain(demand, 2) > 3);
+  CHECK(value.LateResponseGain(demand, 3) < value.LateResponseGain(demand, 2));
+  CHECK(value.LateResponseGain(demand, 0) == 0);  // Nothing is late where nothing stands.
 }
 
 TEST_CASE("One more copy never costs, and each is worth less than the one before") {
