--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -9,17 +9,18 @@
 
 namespace moorfold {
 
-/// What one daemon wants of one model or adapter.
+/// One daemon's demand for one model or adapter.
 struct DemandEntry {
   std::string service;
   ModelReference name;
   std::uint32_t waiting = 0;    ///< Requests that found no usable server holding it.
-  std::uint32_t in_flight = 0;  ///< Requests at servers now.
+  std::uint32_t in_flight = 0;  ///< Requests currently at servers.
   std::uint32_t arrivals = 0;   ///< Requests since the last report.
-  std::uint32_t late = 0;       ///< Of those that ended since then: late by what their server did.
+  std::uint32_t late =
+      0;  ///< Requests ended since the last report whose response was late because of their server.
 };
 
-/// Counts a daemon's demand between reports. One thread.
+/// Counts a daemon's demand between reports. Not thread-safe.
 class DemandCounters {
  public:
   struct Key {
@@ -37,32 +38,36 @@
   Count& CountsOf(const std::string& service, const ModelReference& name) {
     return counts_[{service, name}];
   }
-  /// @return what has happened since the last call; entries with nothing in them are forgotten.
+  /// @return the counts of all models and adapters in use. Resets `arrivals` and `late`; removes
+  /// entries whose counts are all zero.
   std::vector<DemandEntry> Take();
-  /// @return requests that wait for a server now, over all models.
+  /// @return requests that currently wait for a server, over all models.
   std::int64_t Waiting() const;
-  /// @return requests at servers now, over all models.
+  /// @return requests currently at servers, over all models.
   std::int64_t InFlight() const;
 
  private:
   std::map<Key, Count> counts_;
 };
 
-/// Counts one request in a book for as long as this lives. The book outlives it.
+/// Increments a demand count for the lifetime of this object. The counters must outlive it.
 class ScopedDemandCount {
  public:
-  /// @param counted which count of the model's entry.
-  ScopedDemandCount(DemandCounters& book, std::string service, ModelReference model,
+  /// @param counted the count to increment in the model's entry.
+  ScopedDemandCount(DemandCounters& counters, std::string service, ModelReference model,
                     std::uint32_t DemandCounters::Count::*counted)
-      : book_(book), service_(std::move(service)), model_(std::move(model)), counted_(counted) {
-    ++(book_.CountsOf(service_, model_).*counted_);
+      : counters_(counters),
+        service_(std::move(service)),
+        model_(std::move(model)),
+        counted_(counted) {
+    ++(counters_.CountsOf(service_, model_).*counted_);
   }
-  ~ScopedDemandCount() { --(book_.CountsOf(service_, model_).*counted_); }
+  ~ScopedDemandCount() { --(counters_.CountsOf(service_, model_).*counted_); }
   ScopedDemandCount(const ScopedDemandCount&) = delete;
   ScopedDemandCount& operator=(const ScopedDemandCount&) = delete;
 
  private:
-  DemandCounters& book_;
+  DemandCounters& counters_;
   std::string service_;
   ModelReference model_;
   std::uint32_t DemandCounters::Count::*counted_;
--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -12,7 +12,7 @@
 namespace {
 constexpr std::size_t kEntriesPerDatagram = 24;
 constexpr std::chrono::seconds kReporterTimeout{60};
-/// A daemon that has not reported for so long has no request that waits.
+/// A daemon that has not reported for this long has no waiting requests.
 constexpr std::chrono::seconds kBroadcastRecency{5};
 
 /// @param address "IP:PORT".
@@ -53,13 +53,15 @@
   std::optional<FleetMessage> message;
   try {
     message = DecodeMessage<FleetMessage>(bytes);
-  } catch (const std::exception& error) {  // Of another build, or no message: left alone.
+  } catch (
+      const std::exception& error) {  // Ignores other builds' messages and malformed datagrams.
     handlers_.on_undecodable({from, FormatOf(bytes), std::string("received: ") + error.what()});
     return;
   }
   try {
     Dispatch(std::move(*message), from);
-  } catch (const std::exception& error) {  // It names what cannot be, as an address that is none.
+  } catch (const std::exception&
+               error) {  // The message contains an invalid value, such as a malformed address.
     handlers_.on_drop(std::string("received: ") + error.what());
   }
 }
@@ -68,32 +70,32 @@
   if (auto* report = std::get_if<DemandReport>(&message)) {
     reporters_[from_] = BootClock::now();
     handlers_.on_report(std::move(*report));
-  } else if (const auto* notice = std::get_if<PlacementNotice>(&message)) {
-    handlers_.on_placement_notice(*notice, from);
-  } else if (const auto* answer = std::get_if<ChangeAnswer>(&message)) {
-    handlers_.on_change_answer(*answer, from);
-  } else if (const auto* cases = std::get_if<QuarantineNotice>(&message)) {
-    handlers_.on_quarantine_notice(*cases, from);
-  } else if (const auto* sharing = std::get_if<CreditSharing>(&message)) {
-    handlers_.on_credit_sharing(*sharing, from);
-  } else if (const auto* credit = std::get_if<CreditQuestion>(&message)) {
-    handlers_.on_credit_question(*credit, from);
-  } else if (const auto* granted = std::get_if<CreditAnswer>(&message)) {
-    handlers_.on_credit_answer(*granted, from);
-  } else if (const auto* plan = std::get_if<RelayPlan>(&message)) {
-    handlers_.on_relay_plan(*plan, from);
-  } else if (const auto* servers = std::get_if<ServersQuestion>(&message)) {
-    handlers_.on_servers_question(*servers, from);
-  } else if (const auto* page = std::get_if<ServersPage>(&message)) {
-    handlers_.on_servers_page(*page, from);
-  } else if (const auto* text = std::get_if<ConfigurationQuestion>(&message)) {
-    handlers_.on_configuration_question(*text, from);
-  } else if (const auto* part = std::get_if<ConfigurationPart>(&message)) {
-    handlers_.on_configuration_part(*part, from);
-  } else if (const auto* turn = std::get_if<PermitQuestion>(&message)) {
-    handlers_.on_permit_question(*turn, from);
-  } else if (const auto* given = std::get_if<PermitAnswer>(&message)) {
-    handlers_.on_permit_answer(*given, from);
+  } else if (const auto* placement_notice = std::get_if<PlacementNotice>(&message)) {
+    handlers_.on_placement_notice(*placement_notice, from);
+  } else if (const auto* change_answer = std::get_if<ChangeAnswer>(&message)) {
+    handlers_.on_change_answer(*change_answer, from);
+  } else if (const auto* quarantine_notice = std::get_if<QuarantineNotice>(&message)) {
+    handlers_.on_quarantine_notice(*quarantine_notice, from);
+  } else if (const auto* credit_sharing = std::get_if<CreditSharing>(&message)) {
+    handlers_.on_credit_sharing(*credit_sharing, from);
+  } else if (const auto* credit_question = std::get_if<CreditQuestion>(&message)) {
+    handlers_.on_credit_question(*credit_question, from);
+  } else if (const auto* credit_answer = std::get_if<CreditAnswer>(&message)) {
+    handlers_.on_credit_answer(*credit_answer, from);
+  } else if (const auto* relay_plan = std::get_if<RelayPlan>(&message)) {
+    handlers_.on_relay_plan(*relay_plan, from);
+  } else if (const auto* servers_question = std::get_if<ServersQuestion>(&message)) {
+    handlers_.on_servers_question(*servers_question, from);
+  } else if (const auto* servers_page = std::get_if<ServersPage>(&message)) {
+    handlers_.on_servers_page(*servers_page, from);
+  } else if (const auto* configuration_question = std::get_if<ConfigurationQuestion>(&message)) {
+    handlers_.on_configuration_question(*configuration_question, from);
+  } else if (const auto* configuration_part = std::get_if<ConfigurationPart>(&message)) {
+    handlers_.on_configuration_part(*configuration_part, from);
+  } else if (const auto* permit_question = std::get_if<PermitQuestion>(&message)) {
+    handlers_.on_permit_question(*permit_question, from);
+  } else if (const auto* permit_answer = std::get_if<PermitAnswer>(&message)) {
+    handlers_.on_permit_answer(*permit_answer, from);
   } else {
     handlers_.on_leadership_offer(std::get<LeadershipOffer>(message));
   }
@@ -101,7 +103,7 @@
 
 void DemandChannel::Send(const FleetMessage& message, const udp::endpoint& to) {
   const std::string bytes = EncodeMessage(message);
-  boost::system::error_code error;  // A full buffer loses it, as the network may.
+  boost::system::error_code error;  // A full send buffer drops the datagram, as the network may.
   socket_.send_to(boost::asio::buffer(bytes), to, 0, error);
   if (error) handlers_.on_drop("not sent: " + error.message());
 }
@@ -109,7 +111,8 @@
 void DemandChannel::SendTo(const std::string& to, const FleetMessage& message) {
   try {
     Send(message, Resolve(to));
-  } catch (const std::exception& error) {  // Told by another daemon.
+  } catch (
+      const std::exception& error) {  // The address comes from another daemon and may be invalid.
     handlers_.on_drop(std::string("not sent: ") + error.what());
   }
 }
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -14,15 +14,16 @@
 
 namespace moorfold {
 
-/// A datagram that is no message of a known build.
+/// A datagram that cannot be decoded as a message of a known build.
 struct UndecodableMessage {
   std::string from;          ///< "IP:PORT" of the sender.
-  std::uint16_t format = 0;  ///< That it states, see common/message_format.h.
+  std::uint16_t format = 0;  ///< Format that the datagram states, see common/message_format.h.
   std::string problem;
 };
 
-/// Datagrams between daemons: demand and questions to the leader, notices and answers from it. Any
-/// datagram may be lost or come from a daemon that is gone; what matters is said again. One thread.
+/// Exchanges datagrams between daemons: demand reports and queries to the leader, notices and
+/// responses from it. Datagrams may be lost or come from a daemon that has stopped; senders repeat
+/// what matters. Not thread-safe.
 class DemandChannel {
  public:
   using ReportHandler = std::function<void(DemandReport)>;
@@ -48,12 +49,12 @@
   using PermitQuestionHandler = std::function<void(const PermitQuestion&, const std::string& from)>;
   using PermitAnswerHandler = std::function<void(const PermitAnswer&, const std::string& from)>;
   using LeadershipOfferHandler = std::function<void(const LeadershipOffer&)>;
-  /// Hears why a datagram could not be sent.
+  /// Receives the reason why a datagram could not be sent or handled.
   using DropHandler = std::function<void(const std::string& problem)>;
-  /// Hears of a datagram that could not be read, and is left alone.
+  /// Receives a datagram that could not be decoded and is ignored.
   using UndecodableHandler = std::function<void(const UndecodableMessage&)>;
 
-  /// What to do with each kind of message.
+  /// Handlers by type of message and failure.
   struct Handlers {
     ReportHandler on_report;
     NoticeHandler on_placement_notice;
@@ -80,11 +81,11 @@
   void Start();
   /// @param to "IP:PORT" of the leader.
   void SendReport(const std::string& to, const DemandReport& report);
-  /// @param to "IP:PORT" of another daemon. An address that is none is left out.
+  /// @param to "IP:PORT" of another daemon. The message is dropped if the address is invalid.
   void SendTo(const std::string& to, const FleetMessage& message);
-  /// To every daemon that reported lately.
+  /// Sends to every daemon that reported within the last 5 seconds.
   void Broadcast(const FleetMessage& message);
-  /// @return how many daemons reported within the last minute.
+  /// @return how many daemons reported within the last minute, as of the last broadcast.
   std::size_t reporters() const { return reporters_.size(); }
   Endpoint endpoint() const;
 
--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -22,9 +22,9 @@
 constexpr milliseconds kCompletionTimeout{8'000};
 constexpr milliseconds kFailureBackoff{800};
 constexpr milliseconds kAdapterLoadTime{15};
-/// Of a server's slots: fuller servers let others wait and preempt them, emptier ones leave rare
-/// models without a place. 0.2 in place of it cost 0.036 of what callers
-/// were owed (standard error 0.006, paired days of one deployment).
+/// Target share of a server's slots. With a higher load, requests queue and are preempted; with a
+/// lower one, rarely requested models are not placed. 0.2 instead cost 0.036 of the attainable
+/// response value (standard error 0.006, paired days of one deployment).
 constexpr double kTargetSlotUtilization = 0.6;
 
 const char* OutcomeName(ServerOrderOutcome outcome) {
@@ -97,8 +97,8 @@
   SchedulePlan(adapter_plan_throttle_, &FleetController::PlanAdapters);
 }
 
-/// At once, or when enough time has passed since the last plan: planning takes no more than a part
-/// of this machine's time.
+/// Runs the plan immediately, or after the pause that follows the previous plan: planning may use
+/// only a fraction of this machine's CPU time.
 void FleetController::SchedulePlan(PlanThrottle& throttle, void (FleetController::*plan)()) {
   if (throttle.pending) return;
   if (BootClock::now() >= throttle.not_before) {
@@ -197,7 +197,8 @@
 }
 
 FleetController::ManagedServerPtr FleetController::ManagedForRecord(const ServerRecord& record) {
-  // What was known and ordered of an earlier life went with it; what is under way there ends alone.
+  // A restart invalidates the state and the orders of the earlier incarnation. Operations in
+  // progress for that incarnation complete on the detached state.
   const auto found = managed_.find(record.id);
   if (found != managed_.end() && IsLaterLife(record.life, found->second->life))
     managed_.erase(found);
@@ -393,7 +394,7 @@
   }
   const bool adapter_unload = step.kind == ServerOrderKind::kUnload && !step.name.adapter.empty();
   if (outcome == ServerOrderOutcome::kAlreadyDone && adapter_unload) {
-    // Done at once, and counted as an order.
+    // The server completes an adapter unload immediately and counts it as an order.
     ++managed.order_count;
     ApplyAdapterChange(managed, step);
     return;
@@ -435,7 +436,7 @@
   return server->standing().paused_until - BootClock::now();
 }
 
-/// Waits until the server shows the result, and tells the daemons.
+/// Polls the server until it reports the result, then notifies the daemons.
 Awaitable<void> FleetController::AwaitCompletion(const ManagedServerPtr& managed,
                                                  const PlacementStep& step,
                                                  const Endpoint& endpoint) {
@@ -455,7 +456,8 @@
   co_await Sleep(load ? step.expected : kPollInterval);
   while (BootClock::now() < give_up && fleet_view_.servers.Find(managed->id) != nullptr) {
     const std::optional<ServerStatus> report = co_await ReadReport(managed->id, endpoint);
-    // The count of orders begins anew with each life: one that went with the last is never reached.
+    // The order count restarts with each incarnation, so a restarted server never reaches the old
+    // count.
     if (!IsCurrent(managed) || (report && IsLaterLife(report->life, managed->life))) break;
     if (report && report->order_count >= managed->order_count && !report->busy) {
       ApplyReport(*managed, *report);
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -20,34 +20,36 @@
 
 namespace moorfold {
 
-/// What a leader knows of a model server beyond its record. It is asked for its state once before
-/// the first order; from then on the leader follows its own orders.
+/// State that a leader tracks for a model server in addition to its record. The leader queries the
+/// server once before the first order and afterwards derives the state from its own orders.
 struct ManagedServer {
   std::string id;
-  bool state_known = false;  ///< Its state and order count were read and nothing is uncertain.
-  bool operation_pending = false;  ///< An order or a question is under way.
+  bool state_known = false;        ///< The models and order count are known with certainty.
+  bool operation_pending = false;  ///< An order or a state query is in progress.
   std::int64_t order_count = 0;
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
-  std::int64_t life = 0;  ///< Of the server, as ServerRecord has it.
+  std::int64_t life = 0;  ///< Incarnation of the server, see ServerRecord::life.
   std::string loading_model;
-  bool from_weight_store = false;  ///< Of `incoming`.
-  SteadyTime load_started{};       ///< The same.
+  bool from_weight_store = false;  ///< Whether `loading_model` loads from the weight store.
+  SteadyTime load_started{};       ///< When the load of `loading_model` began.
   std::chrono::milliseconds expected_load_time{0};
-  std::size_t concurrent_loads = 0;  ///< From the weight store, when it began.
-  SteadyTime ready_at{};             ///< When `incoming` is expected to be there.
+  std::size_t concurrent_loads =
+      0;                  ///< Loads from the weight store in progress when this one began.
+  SteadyTime ready_at{};  ///< Expected completion of `loading_model`.
   std::string reserved_for;
-  SteadyTime not_before{};  ///< After a failure: no order earlier than this.
+  SteadyTime not_before{};  ///< Earliest time of the next order, after a failure.
 };
 
 struct ControllerSettings {
-  std::string holder;  ///< OutcomeName of this machine in orders.
+  std::string holder;  ///< Name of this machine in orders.
   std::chrono::milliseconds load_window{5'000};
 };
 
-/// Carries the planner's steps out while this daemon leads: one order to a server at a time, each
-/// with the fencing token, the incarnation and the server's order count. One thread.
+/// Executes the planner's steps while this daemon is the leader. Each server has at most one order
+/// in progress; each order carries the fencing token, the server's id and its order count. Not
+/// thread-safe.
 class FleetController {
  public:
   using PlacementNoticeHandler = std::function<void(const PlacementNotice&)>;
@@ -58,9 +60,9 @@
 
   void Start();
   void AddReport(const DemandReport& report);
-  /// Begins no more orders.
+  /// Stops issuing orders.
   void Stop() { stopped_ = true; }
-  /// @return orders that have no answer yet.
+  /// @return the number of orders that await a response.
   std::size_t sending() const { return sending_; }
 
  private:
@@ -69,8 +71,8 @@
   void Tick();
   void PlanSoon();
   void PlanAll();
-  /// Places adapters that requests wait for, over the servers that hold their models: this takes a
-  /// small part of the time of a whole plan, and so comes much sooner.
+  /// Places adapters that requests wait for, on servers that already hold their models. Takes a
+  /// small fraction of the time of a full plan, so it runs much sooner.
   void PlanAdapters();
   void PlanAdapters(const ServiceDescription& service);
   void PlanAdaptersSoon();
@@ -78,9 +80,11 @@
   void PlanService(const ServiceDescription& service);
   PlannedServer MakePlannedServer(const Server& server);
   ManagedServerPtr FindOrCreateManaged(const std::string& id);
-  /// @return what is known of that life of the server.
+  /// @return the tracked state of the incarnation that the record describes; replaces the state of
+  /// an earlier incarnation.
   ManagedServerPtr ManagedForRecord(const ServerRecord& record);
-  /// @return whether the server has not started again since, as far as known.
+  /// @return whether `managed` is still the tracked state of its server, so that no restart of the
+  /// server has been observed since.
   bool IsCurrent(const ManagedServerPtr& managed) const;
   void RemoveMissingServers();
   void ResetOnNewTerm();
@@ -89,21 +93,22 @@
                                Endpoint endpoint);
   Awaitable<void> AwaitCompletion(const ManagedServerPtr& managed, const PlacementStep& step,
                                   const Endpoint& endpoint);
-  /// @return how long the server still wants nothing of this daemon.
+  /// @return how long the server still asks this daemon to pause; negative or zero if it does not.
   BootClock::duration RemainingPause(const std::string& id) const;
   Awaitable<void> QueryState(ManagedServerPtr managed, Endpoint endpoint);
   Awaitable<std::optional<ServerStatus>> ReadReport(const std::string& id, Endpoint endpoint);
-  /// Takes over what an answer to an order or a question says of its server.
+  /// Records what a response to an order or a state query states about its server.
   void RecordStatement(const std::string& id, const HttpResponse& response, SteadyTime sent_at);
   Awaitable<ServerOrderOutcome> SendOrder(const ServerOrder& order, const Endpoint& endpoint);
   void ApplyOutcome(ManagedServer& managed, const PlacementStep& step, ServerOrderOutcome outcome);
   void ApplyReport(ManagedServer& managed, const ServerStatus& report);
   std::size_t ActiveStoreLoads() const;
-  /// Lets the limit learn from loads that take too long, before they end.
+  /// Reports store loads that exceed their expected time to the limit before they end.
   void RecordSlowLoads();
-  /// @return the longest that a model of the service takes from the weight store alone.
+  /// @return the longest time that a load of one of the service's models takes from the weight
+  /// store when no other load is in progress.
   static std::chrono::milliseconds LongestLoadTime(const EngineDescription& engine);
-  /// Counts the order that a server has taken, and what it did at once.
+  /// Updates the adapters of the tracked model after a completed adapter order.
   static void ApplyAdapterChange(ManagedServer& managed, const PlacementStep& step);
   void Notify(const ManagedServer& managed, const ModelReference& name, bool held);
   void RecordOrder(const ServerOrder& order, ServerOrderOutcome outcome);
@@ -119,16 +124,16 @@
   PlacementNoticeHandler send_notice_;
   HttpClient client_;
   BootTimer timer_;
-  /// When one kind of plan may be made again.
+  /// Limits how often one kind of plan is made.
   struct PlanThrottle {
     explicit PlanThrottle(boost::asio::io_context& context) : timer(context) {}
     BootTimer timer;
     SteadyTime not_before{};
     bool pending = false;
   };
-  /// Runs `plan` at once, or when the pace allows it.
+  /// Runs `plan` at once, or at the earliest time that the throttle allows.
   void SchedulePlan(PlanThrottle& throttle, void (FleetController::*plan)());
-  /// A plan that began then has ended.
+  /// Sets the earliest time of the next plan after one that started at `began` has ended.
   static void SetNextPlanTime(PlanThrottle& throttle, SteadyTime began);
 
   PlanThrottle full_plan_throttle_;
@@ -136,7 +141,8 @@
   FleetDemand demand_;
   std::map<std::string, ManagedServerPtr> managed_;
   StoreLoadLimit store_limit_;
-  std::int64_t managed_term_ = 0;  ///< Fencing token of the term that `managed_` belongs to.
+  std::int64_t managed_term_ =
+      0;  ///< Fencing token of the leadership term to which `managed_` belongs.
   std::size_t sending_ = 0;
   bool stopped_ = false;
 };
--- a/src/fleet/fleet_demand.cc
+++ b/src/fleet/fleet_demand.cc
@@ -8,7 +8,7 @@
 namespace moorfold {
 
 namespace {
-constexpr double kShortTermTimeConstantS = 4;  ///< Time constant of the rates.
+constexpr double kShortTermTimeConstantS = 4;  ///< For the short-term rates.
 constexpr std::chrono::milliseconds kReportTimeout{1'500};
 constexpr std::chrono::seconds kEntryTimeout{60};
 
@@ -38,7 +38,8 @@
 }
 
 void FleetDemand::RemoveExpiredUnreachable(Time now) {
-  // Not with each report, or the work would grow with the square of the daemons.
+  // Runs at intervals: a cleanup with each report would make the work quadratic in the number of
+  // daemons.
   constexpr std::chrono::seconds kCleanupInterval{1};
   if (now < next_cleanup_) return;
   next_cleanup_ = now + kCleanupInterval;
--- a/src/fleet/fleet_demand.h
+++ b/src/fleet/fleet_demand.h
@@ -9,35 +9,38 @@
 
 namespace moorfold {
 
-/// The demand of the whole fleet for one model or adapter, as the leader sees it.
+/// The fleet's total demand for one model or adapter, as reported to the leader.
 struct ModelDemand {
   double waiting = 0;  ///< Requests that found no server.
   double in_flight = 0;
-  double arrivals_per_second = 0;            ///< Over the last seconds.
-  double long_term_arrivals_per_second = 0;  ///< Over some tens of seconds, for rare models.
-  /// Answers that came late by what their servers did, over the last seconds: first parts or pauses
-  /// between parts that took longer than the route aims at.
+  double arrivals_per_second = 0;  ///< Short-term average, over a few seconds.
+  double long_term_arrivals_per_second =
+      0;  ///< Long-term average, over some tens of seconds, for rarely requested models.
+  /// Short-term average rate of responses that were late because of their servers: the first part
+  /// or a pause between parts took longer than the route's target.
   double late_responses_per_second = 0;
   BootClock::time_point last_seen{};
-  /// For how long requests have waited for it, again and again, without one being served.
+  /// How long requests have waited, repeatedly, without any being served.
   double unserved_s = 0;
-  /// Servers on which it stood while that was seen. Set by the planner.
+  /// Number of serving servers that held the model when late responses were measured. Set by the
+  /// planner.
   std::size_t serving_servers = 0;
 };
 
-/// Adds up the reports of all daemons. One thread.
+/// Aggregates the reports of all daemons. Not thread-safe.
 class FleetDemand {
  public:
   using Time = BootClock::time_point;
-  /// Time constant of the usual rate, in seconds: a model asked for every few seconds shows in it.
+  /// Time constant of the long-term rate in seconds: a model requested every few seconds
+  /// contributes to it.
   static constexpr double kLongTermTimeConstantS = 20;
 
   void Add(const DemandReport& report, Time now);
-  /// @return demand by model and adapter of one service; what no daemon has named for long is left
-  /// out.
+  /// @return demand by model and adapter of one service. Removes entries without arrivals, waiting
+  /// requests or a rate update for 60 s; each call updates the rates of the remaining entries.
   std::map<ModelReference, ModelDemand> ForService(const std::string& service, Time now);
-  /// @return whether more than one daemon could not reach the server lately. One alone may itself
-  /// be cut off.
+  /// @return whether at least two daemons recently failed to reach the server. A single daemon may
+  /// itself be isolated from the network.
   bool Unreachable(const std::string& server_id, Time now) const;
 
  private:
@@ -48,19 +51,19 @@
   };
   struct Entry {
     std::map<std::string, SenderState> senders;
-    double arrivals_per_second = 0;  ///< Decays with kHalfLife.
+    double arrivals_per_second = 0;  ///< Decays with kShortTermTimeConstantS.
     double long_term_arrivals_per_second = 0;
     double late_responses_per_second = 0;
     Time decayed_at{};
     Time last_seen{};
-    Time unserved_since{};  ///< Zero: served since it was last waited for.
+    Time unserved_since{};  ///< Zero if a request was served since one last waited.
   };
 
   static void Decay(Entry& entry, Time now);
   void RemoveExpiredUnreachable(Time now);
 
   std::map<std::string, std::map<ModelReference, Entry>> services_;
-  /// By server: when each daemon last said that it is out of reach.
+  /// By server and daemon: when the daemon last reported the server as unreachable.
   std::map<std::string, std::map<std::string, Time>> unreachable_;
   Time next_cleanup_{};
 };
--- a/src/fleet/fleet_messages.cc
+++ b/src/fleet/fleet_messages.cc
@@ -16,7 +16,7 @@
     const Endpoint endpoint = ParseEndpoint(address);
     const auto number = boost::asio::ip::make_address_v4(endpoint.address).to_uint();
     return (std::int64_t{number} << kPortBits) | endpoint.port;
-  } catch (const std::exception&) {  // No such address: whoever reads it knows of none.
+  } catch (const std::exception&) {  // Invalid address: encoded as unknown.
     return 0;
   }
 }
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -27,29 +27,30 @@
 
 /// Tags of the added fields of messages and records, see common/message_format.h.
 enum class AddedField : std::uint16_t {
-  /// Of each revision in the message, or of the time at which the record was written. A message
-  /// without it is of a build that knows no eras: kEraUntold.
+  /// Store era of each revision in the message, or of the store when the record was written.
+  /// Messages without it come from builds without era support: kEraUntold.
   kStoreEra = 1,
-  kZone = 2,           ///< Of a report: DemandReport::zone.
-  kRelayPlan = 3,      ///< Of a report: DemandReport::relay_plan.
-  kPartial = 4,        ///< Of an answer: ChangeAnswer::partial.
-  kLeaderAddress = 5,  ///< Of an answer: ChangeAnswer::leader, as PackAddress writes it.
+  kZone = 2,           ///< In DemandReport: `zone`.
+  kRelayPlan = 3,      ///< In DemandReport: `relay_plan`.
+  kPartial = 4,        ///< In ChangeAnswer: `partial`.
+  kLeaderAddress = 5,  ///< In ChangeAnswer: `leader`, in the form of PackAddress.
 };
 
-/// What stands under the leader key. The key hangs on the leader's lease.
+/// Value of the leader key in the store. The key is attached to the leader's lease.
 struct LeaderRecord {
-  std::string name;     ///< Of the leader's machine.
-  std::string address;  ///< "IP:PORT" at which it hears of demand.
-  /// The time in which orders of older leaders may still matter was waited out.
+  std::string name;     ///< Name of the leader's machine.
+  std::string address;  ///< "IP:PORT" at which the leader receives demand reports.
+  /// The wait for orders of earlier leaders to expire is over.
   bool settled = false;
-  /// The leader gives no more orders; the key hangs on no lease any more.
+  /// The leader has stopped issuing orders; the key is attached to no lease.
   bool released = false;
-  OrderHistoryRecord history;  ///< Where released.
-  /// Of the store in which it was written: in a later one it is of a copy, and tells what was.
+  OrderHistoryRecord history;  ///< Set if `released`.
+  /// Era of the store in which the record was written. In a later era the record was restored from
+  /// an older copy of the store and is outdated.
   std::int64_t era = kEraUntold;
 
-  /// @return whether it tells of what is, in a store of that era. A record of a build that knows no
-  /// eras does where no copy can have brought it back.
+  /// @return whether the record is current in a store of that era. A record of a build without era
+  /// support is current only if the store cannot have been restored from a copy.
   bool IsValidInEra(std::int64_t era_of_store) const {
     return era == era_of_store || (era == kEraUntold && era_of_store <= kEraWithoutReturn);
   }
@@ -60,22 +61,23 @@
   }
 };
 
-/// From every daemon to the leader: part of its demand. Entries of one report come in several
-/// datagrams where they do not fit; any may be lost, the next report makes up for it.
+/// Part of a daemon's demand, sent to the leader. Entries that do not fit in one datagram follow in
+/// others. Any datagram may be lost; the next report replaces it.
 struct DemandReport {
   std::string sender;
-  std::string address;         ///< "IP:PORT" at which the sender hears of notices.
-  std::int64_t uptime_ms = 0;  ///< Of the sender's process.
-  double strength = 0;         ///< Of the sender's machine: share of a core.
-  bool stopping = false;       ///< The sender is at a planned stop.
+  std::string address;         ///< "IP:PORT" at which the sender receives notices.
+  std::int64_t uptime_ms = 0;  ///< Uptime of the sender's process.
+  double strength = 0;         ///< CPU capacity of the sender's machine, as a share of a core.
+  bool stopping = false;       ///< The sender is in a planned stop.
   std::vector<DemandEntry> entries;
-  std::vector<std::string> unreachable;    ///< Servers to which no connection came up lately.
-  std::optional<ChangeQuestion> question;  ///< What has changed in the store; in the last part.
-  std::uint64_t quarantine_digest = 0;     ///< Of the sender's case book.
-  std::uint16_t format = kMessageFormat;   ///< In which the sender's build writes.
-  ZoneId zone = 0;                         ///< Of the sender; 0: not told. An added field.
-  /// Number of the newest plan of relays that the sender knows; nothing from a build that knows no
-  /// relays. An added field.
+  std::vector<std::string> unreachable;  ///< Servers to which recent connections failed.
+  std::optional<ChangeQuestion>
+      question;                           ///< Asks for changes in the store; only in the last part.
+  std::uint64_t quarantine_digest = 0;    ///< Digest of the sender's quarantine cases.
+  std::uint16_t format = kMessageFormat;  ///< Message format of the sender's build.
+  ZoneId zone = 0;                        ///< Zone of the sender; 0: unknown. An added field.
+  /// Number of the newest relay plan known to the sender; empty from builds without relay support.
+  /// An added field.
   std::optional<std::int64_t> relay_plan;
 
   template <typename Archive>
@@ -85,13 +87,14 @@
   }
 };
 
-/// From the leader to every daemon: a model or adapter stands at a server now, will, or goes.
+/// Sent by the leader to every daemon: a server holds, will hold or unloads a model or adapter.
 struct PlacementNotice {
   std::string server_id;
   ModelReference name;
   bool held = true;
-  std::int64_t expected_ms = 0;  ///< Above 0: it does not stand there yet, but should after that.
-  std::int64_t life = 0;         ///< Of the server, as ServerRecord has it.
+  std::int64_t expected_ms =
+      0;  ///< If positive: the server does not hold it yet and is expected to after this time.
+  std::int64_t life = 0;  ///< Incarnation of the server, see ServerRecord::life.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -100,7 +103,7 @@
   }
 };
 
-/// From a leader that has given leadership up at a planned stop, to the daemon that should lead.
+/// Sent by a leader that has resigned in a planned stop, to the daemon that should become leader.
 struct LeadershipOffer {
   std::string from;
 
@@ -110,8 +113,8 @@
   }
 };
 
-/// Those from RelayPlan on are understood by builds that know relays (DemandReport::relay_plan); a
-/// build that does not know the last two leaves them alone, and questions without an answer.
+/// Alternatives from RelayPlan on require relay support (DemandReport::relay_plan). Builds that do
+/// not know the last two ignore them, so their queries get no response.
 using FleetMessage = std::variant<DemandReport, PlacementNotice, ChangeAnswer, LeadershipOffer,
                                   QuarantineNotice, CreditSharing, CreditQuestion, CreditAnswer,
                                   RelayPlan, ServersQuestion, ServersPage, ConfigurationQuestion,
@@ -127,7 +130,7 @@
   archive(entry.service, entry.name, entry.waiting, entry.in_flight, entry.arrivals, entry.late);
 }
 
-/// Writes what a message holds beside its body, and reads it; most hold nothing there.
+/// Write and read the added fields of a message; most messages have none.
 template <typename Message>
 void WriteAdded(const Message&, AddedFields&) {}
 template <typename Message>
@@ -153,9 +156,9 @@
   added.Put(static_cast<std::uint16_t>(field), value);
 }
 
-/// @return "IP:PORT" of a version 4 address as a number; 0 for anything else.
+/// @return the IPv4 address and port "IP:PORT" as a number; 0 for anything else.
 std::int64_t PackAddress(const std::string& address);
-/// @return the same address; empty for 0.
+/// @return the "IP:PORT" that `packed` encodes; empty for 0 or a negative number.
 std::string UnpackAddress(std::int64_t packed);
 
 inline void WriteAdded(const DemandReport& report, AddedFields& added) {
@@ -203,7 +206,7 @@
   std::visit([&](auto& content) { ReadAdded(content, formatted); }, message);
 }
 
-/// @return the bytes of a message or record.
+/// @return the encoded message or record.
 template <typename Message>
 std::string EncodeMessage(const Message& message) {
   std::ostringstream stream;
@@ -214,18 +217,19 @@
   return WriteFormatted(std::move(stream).str(), added);
 }
 
-/// @throws std::runtime_error when `body` is no such message in that layout.
+/// @throws std::runtime_error when `body` does not decode as a Message in that layout.
 template <typename Message>
 Message DecodeBody(const std::string& body, BodyLayout layout) {
   Message message;
   BoundedInputArchive archive(body, layout);
   archive(message);
-  if (archive.Left() > 0) throw std::runtime_error("bytes are left over");
+  if (archive.Left() > 0) throw std::runtime_error("trailing bytes after the message body");
   return message;
 }
 
-/// Reads what this build and those that landed before it have written, and what later ones add to.
-/// @throws std::runtime_error when `bytes` is no such message.
+/// Decodes messages of this and all earlier released builds, and those of later builds that only
+/// add fields.
+/// @throws std::runtime_error when `bytes` does not decode as a Message.
 template <typename Message>
 Message DecodeMessage(const std::string& bytes) {
   try {
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -7,37 +7,40 @@
 
 namespace {
 
-/// Over which a better placement has to pay for its loads and for what makes room for it: demand
-/// is not foreseen beyond. Against 10 s it serves 0.040
-/// more of what callers are owed (standard error 0.009, paired days of one deployment); 3 s alike.
+/// Time in which a better placement has to repay its loads and evictions; demand is not predicted
+/// further ahead. 5 s gained 0.040 of the attainable response value over 10 s (standard error
+/// 0.009, paired days of one deployment); 3 s performed like 5 s.
 constexpr double kPlanningHorizonS = 5;
-/// Request-seconds that making room costs beside what the victim is worth: the server takes no
-/// other order meanwhile and forgets the victim's prompts, and the victim may be missed elsewhere.
-/// Gains 0.023 of what callers are owed (0.744 -> 0.767, days of one deployment); no other value
-/// was measured.
+/// Request-seconds that an eviction costs in addition to the victim's value: the server takes no
+/// other order meanwhile and drops the victim's cached prompts, and other servers may lack the
+/// victim. Gained 0.023 of the attainable response value (0.744 -> 0.767, days of one deployment);
+/// no other value was measured.
 constexpr double kEvictionOverhead = 2.5;
-/// Request-seconds a second that a fleet loses while none of its servers takes orders. A server
-/// that loads from the weight store takes none for seconds, and costs its share: in a large fleet
-/// others can take the next model. 36 is 4 for each of 9 servers; 4 a server gained 0.026 of what
-/// callers are owed in a fleet of 86 daemons (standard error 0.011); no more is asked in a smaller
-/// fleet, which still has to load what is asked for.
+/// Request-seconds per second that a fleet loses while none of its servers accepts orders. A server
+/// that loads from the weight store accepts none for seconds and costs its share; in a large fleet
+/// other servers can take the next model. 36 is 4 for each of 9 servers. 4 per server gained 0.026
+/// of the attainable response value in a fleet of 86 daemons (standard error 0.011). The cost per
+/// server is capped at 4 in smaller fleets, which still have to load the requested models.
 constexpr double kBlockedFleetCost = 36;
 constexpr double kBlockedServerCost = 4;
-/// Demand that was just seen first is taken to last at least so long: the fast average needs as
-/// long to tell it from chance.
+/// Minimum assumed duration of new demand: the short-term average needs this long to distinguish
+/// demand from random variation.
 constexpr double kMinDemandDurationS = 4;
-/// From there on the two averages differ by chance.
+/// Above this ratio the two averages differ only by random variation.
 constexpr double kMaxAverageRatio = 0.95;
-/// What a change must bring beyond its cost, in request-seconds: estimates are noisy.
+/// Minimum net benefit of a change, in request-seconds, since estimates are noisy.
 constexpr double kMinBenefit = 0.5;
-/// A model that requests wait for comes before any that would only ease others.
+/// Weight of a waiting request for a model without a replica. It ranks such models above those
+/// whose replicas only need relief.
 constexpr double kWaitingRequestWeight = 3;
-/// What the gain of a model that is waited for grows by with each second in which none of its
-/// requests was served: whatever others are worth, its turn comes within some tens of seconds.
+/// Increase of the gain of a model without a replica for each second in which none of its waiting
+/// requests was served. It bounds the wait to some tens of seconds whatever the value of the other
+/// models.
 constexpr double kUnservedSecondWeight = 0.5;
-/// Of an adapter: more requests than this share of what a server bears, and it gets another server.
+/// Share of a server's request capacity that an adapter may use on each holder before it is placed
+/// on another server.
 constexpr double kAdapterLoadShare = 0.5;
-/// Models placed by one plan, the most urgent first; the next plan comes soon.
+/// Models placed by one plan, the highest gain first; the next plan follows soon.
 constexpr std::size_t kMaxCandidatesPerPlan = 16;
 
 bool Contains(const std::vector<std::string>& names, const std::string& name) {
@@ -65,7 +68,8 @@
     total.last_seen = std::max(total.last_seen, demanded.last_seen);
     total.late_responses_per_second += demanded.late_responses_per_second;
     total.unserved_s = std::max(total.unserved_s, demanded.unserved_s);
-    // A request that waits for an adapter waits for its model only where the model is nowhere.
+    // A request that waits for an adapter counts as waiting for the model only if the model has no
+    // replica.
     const bool adapter_only = !name.adapter.empty() && ReplicaCount(name.model) > 0;
     if (!adapter_only) total.waiting += demanded.waiting;
   }
@@ -123,7 +127,7 @@
   return count;
 }
 
-/// ReplicaCount that stand, are on their way or have room made for them.
+/// Counts replicas that are loaded, loading or reserved.
 void PlacementPlanner::CountReplicas() {
   for (const PlannedServer& server : servers_) {
     if (!server.serving) continue;
@@ -146,7 +150,7 @@
   return !Contains(server.in_memory, model) && !Contains(server.on_disk, model);
 }
 
-/// @return whether a server that lacks the model could load it without the weight store.
+/// @return whether a server without the model can load it from its memory or disk.
 bool PlacementPlanner::LocalCopyExists(const std::string& model) const {
   return std::any_of(servers_.begin(), servers_.end(), [&](const PlannedServer& server) {
     return server.serving && server.Find(model) == nullptr && !FromWeightStore(server, model);
@@ -162,7 +166,7 @@
   return std::chrono::duration<double>(model.load_time).count();
 }
 
-/// @return what is lost a second when the model leaves one of its servers.
+/// @return request-seconds lost per second when one server unloads the model.
 double PlacementPlanner::RemovalLossOf(const std::string& model) {
   const auto [loss, inserted] = removal_losses_.try_emplace(model, 0);
   const ModelDescription* description = FindDescription(model);
@@ -172,12 +176,12 @@
   return loss->second;
 }
 
-/// Demand that has lasted for some time is expected to last for as long again.
-/// @return the chance that the model's demand is still there after so many seconds.
+/// Assumes that demand continues for about as long as it has lasted so far.
+/// @return the probability that the model's demand persists for `seconds`.
 double PlacementPlanner::DemandSurvivalProbability(const std::string& model, double seconds) const {
   const ModelDemand demand = TotalDemand(model);
   if (demand.arrivals_per_second <= 0) return 0;
-  // The slow average has come so far towards the fast one.
+  // Ratio of the long-term to the short-term average, which grows with the duration of the demand.
   const double average_ratio =
       std::min(demand.long_term_arrivals_per_second / demand.arrivals_per_second, kMaxAverageRatio);
   const double demand_duration_s =
@@ -196,9 +200,11 @@
   if (from_store && limits_.weight_store_loads < 1) return std::nullopt;
   Placement placement{&server, 0, {}};
   const double load_s = LoadSeconds(server, model);
-  // Where some server has the weights at hand, it is better to wait for that server's next turn.
+  // If another server has the weights in memory or on disk, waiting until it accepts orders is
+  // better.
   const bool only_source = from_store && !local_copy_exists;
-  if (ReplicaCount(model.name) > 0)  // One more pays only if the demand outlasts its load.
+  if (ReplicaCount(model.name) >
+      0)  // Another replica pays off only if the demand outlasts its load.
     placement.cost +=
         gain * kPlanningHorizonS * (1 - DemandSurvivalProbability(model.name, load_s));
   else if (!only_source)
@@ -248,7 +254,7 @@
   std::erase_if(server.models, [&](const HeldModel& held) { return held.name == model; });
 }
 
-/// Room is being made there for a model: the next step towards it.
+/// Takes the next step towards loading the model for which the server frees memory.
 bool PlacementPlanner::ContinueReservation(PlannedServer& server) {
   const ModelDescription* model = FindDescription(server.reserved_for);
   if (model == nullptr || server.Find(server.reserved_for) != nullptr) {
@@ -270,7 +276,8 @@
 void PlacementPlanner::PlaceModel(const ReplicaCandidate& candidate_model) {
   std::optional<Placement> best;
   double best_benefit = kMinBenefit;
-  // The same for all servers: looked for once, or a plan takes the square of their number.
+  // Independent of the server: evaluating it for each one would make a plan quadratic in the number
+  // of servers.
   const bool local_copy_exists = LocalCopyExists(candidate_model.model->name);
   for (PlannedServer& server : servers_) {
     std::optional<Placement> placement =
--- a/src/fleet/placement_planner.h
+++ b/src/fleet/placement_planner.h
@@ -15,16 +15,17 @@
 
 namespace moorfold {
 
-/// A model server as the planner sees it.
+/// The planner's view of a model server.
 struct PlannedServer {
   std::string id;
-  bool accepts_orders = false;  ///< Takes orders now: alive, not leaving, no order under way.
-  bool serving = false;         ///< Alive and not leaving.
+  bool accepts_orders =
+      false;  ///< Serving, with no order in progress and no backoff or wait that forbids an order.
+  bool serving = false;  ///< Alive and not leaving.
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
-  std::string loading_model;  ///< Model that was ordered and is not there yet.
-  std::string reserved_for;   ///< Model for which room is being made.
+  std::string loading_model;  ///< Model whose load was ordered and has not completed.
+  std::string reserved_for;   ///< Model for which memory is being freed.
 
   const HeldModel* Find(const std::string& model) const {
     for (const HeldModel& held : models)
@@ -33,24 +34,25 @@
   }
 };
 
-/// One step towards a better placement.
+/// One order that improves the placement.
 struct PlacementStep {
   ServerOrderKind kind = ServerOrderKind::kLoad;
   std::string server_id;
   ModelReference name;
-  std::string reserved_for;        ///< Of an unload: the model for which room is made.
-  bool from_weight_store = false;  ///< Of a load of a model.
+  std::string reserved_for;        ///< For an unload: the model for which memory is freed.
+  bool from_weight_store = false;  ///< Whether a model load reads from the weight store.
   std::chrono::milliseconds expected{0};
 };
 
 struct PlannerLimits {
-  double weight_store_loads = 0;  ///< Loads from the weight store that may begin now.
-  /// Requests that one server runs at once and still answers in time.
+  double weight_store_loads = 0;  ///< Loads from the weight store that may start now.
+  /// Concurrent requests that one server handles within the response target.
   double requests_per_server = 1;
 };
 
-/// Decides which models and adapters go where. Pure: the same input gives the same steps. At most
-/// one step for each server; steps never exceed a server's memory or adapter slots.
+/// Decides which server holds which models and adapters. Deterministic: the same input yields the
+/// same steps. Emits at most one step for each server and never exceeds a server's memory or
+/// adapter slots.
 class PlacementPlanner {
  public:
   using Time = BootClock::time_point;
@@ -59,23 +61,23 @@
                    std::vector<PlannedServer> servers, PlannerLimits limits, Time now);
 
   std::vector<PlacementStep> Plan();
-  /// Adapters alone. Where the servers given hold the models of those that are waited for, these
-  /// are the steps that a plan over all servers takes for them.
+  /// Plans adapters only. If the given servers include all holders of the models whose adapters
+  /// have waiting requests, these adapters get the same steps as in a plan over all servers.
   std::vector<PlacementStep> PlanAdaptersOnly();
 
  private:
-  /// A model that would be worth one more server.
+  /// A model that would benefit from one more replica.
   struct ReplicaCandidate {
     const ModelDescription* model = nullptr;
-    double gain = 0;       ///< Request-seconds a second.
-    double late_gain = 0;  ///< The same, by answers that come late now.
+    double gain = 0;       ///< Request-seconds saved per second.
+    double late_gain = 0;  ///< Request-seconds saved per second by fewer late responses.
   };
-  /// A way to take a model to a server.
+  /// A way to place a model on a server.
   struct Placement {
     PlannedServer* server = nullptr;
-    double cost = 0;  ///< Request-seconds, over the horizon.
+    double cost = 0;  ///< Request-seconds over the planning horizon.
     std::vector<std::string> victims;
-    bool evicts_last_replica = false;  ///< A victim would stand nowhere then.
+    bool evicts_last_replica = false;  ///< Whether a victim has no replica elsewhere.
   };
 
   void PlanAdapters();
@@ -84,8 +86,8 @@
   std::vector<ReplicaCandidate> RankCandidates() const;
   void PlaceModel(const ReplicaCandidate& candidate_model);
   bool ContinueReservation(PlannedServer& server);
-  /// @return how to take the model there, or nothing if that cannot be done now.
-  /// @param local_copy_exists whether some server could load the model without the weight store.
+  /// @return how to place the model on the server, or nothing if that is not possible now.
+  /// @param local_copy_exists whether some server can load the model without the weight store.
   std::optional<Placement> PlaceAt(PlannedServer& server, const ModelDescription& model,
                                    double gain, bool local_copy_exists);
   double RemovalLossOf(const std::string& model);
@@ -109,8 +111,9 @@
   const EngineDescription& engine_;
   std::unordered_map<std::string, const ModelDescription*> descriptions_;
   std::unordered_map<std::string, std::size_t> replica_counts_;
-  std::unordered_set<std::string> pending_models_;  ///< Models with a copy that does not stand yet.
-  std::unordered_map<std::string, double> removal_losses_;  ///< Of models, as far as asked for.
+  std::unordered_set<std::string>
+      pending_models_;  ///< Models with a replica that is loading or reserved.
+  std::unordered_map<std::string, double> removal_losses_;  ///< By model, computed on demand.
   std::map<ModelReference, ModelDemand> demand_;
   std::vector<PlannedServer> servers_;
   PlannerLimits limits_;
--- a/src/fleet/placement_value.cc
+++ b/src/fleet/placement_value.cc
@@ -8,29 +8,30 @@
 
 namespace {
 
-/// Seconds from the first request for an absent model to its load's beginning: its report, the end
-/// of an unload that makes room, the server's report of that (sums of the controller's own times).
+/// Seconds from the first request for an unloaded model to the start of its load: the demand
+/// report, the unload that frees memory and the server's report of its completion (sum of the
+/// controller's intervals).
 constexpr double kReactionTimeS = 0.7;
-/// Share of a request's speed that each other one at its server takes: a step of an engine's batch
-/// grows by some thousandths for each request, and prompts are read between steps. On one
-/// deployment 0.001 to 0.004 did alike and 0.01 cost 0.030 of what callers are owed (standard error
-/// 0.008, paired days); another did better with 0.004 or more.
+/// Relative slowdown of a request for each other request at its server: a step of an engine's batch
+/// takes some thousandths longer for each request, and prompts are processed between steps. On one
+/// deployment 0.001 to 0.004 performed alike and 0.01 cost 0.030 of the attainable response value
+/// (standard error 0.008, paired days); another performed better with 0.004 or more.
 constexpr double kSlowdownPerRequest = 0.003;
-/// A model whose last request lies so many of its mean intervals back is asked for less often than
-/// its rate says: after three, one request in twenty comes later by chance.
+/// After this many mean intervals without a request, the estimated rate is reduced: one interval in
+/// twenty exceeds three means by chance.
 constexpr double kMaxIdleIntervals = 3;
-/// A model's last copy is not taken from requests that run on it without need: it would have to
-/// come back for the next of them.
+/// Weight of the requests in flight on a model's last replica: evicting it needlessly would require
+/// another load for the next request.
 constexpr double kLastReplicaInFlightWeight = 0.1;
 
 double Seconds(BootClock::duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// What a late answer counts, in request-seconds: as a request that waits so long for a model. It
-/// has lost most of its credit, as that one has when its target has passed.
+/// Cost of a late response in request-seconds, equal to a request that waits this long for a model.
+/// Both have lost most of their response value once the target has passed.
 constexpr double kLateResponseCostS = 2;
-/// HasLateResponses answers a second that are put up with: one in a report now and then is chance.
+/// Tolerated late responses per second: an occasional one in a report is random.
 constexpr double kToleratedLatePerSecond = 0.5;
 
 }  // namespace
@@ -41,13 +42,13 @@
   return std::min(demand.long_term_arrivals_per_second, kMaxIdleIntervals / idle_s);
 }
 
-/// @return how many servers' worth of work there is.
+/// @return the number of servers that the demand requires.
 double PlacementValue::RequiredServers(const ModelDemand& demand) const {
   return (demand.in_flight + demand.waiting) / requests_per_server_;
 }
 
-/// Pauses come where several long prompts meet at one server, so their number falls with the square
-/// of how many share the requests.
+/// Pauses occur where several long prompts share a server, so their rate falls with the square of
+/// the number of servers that share the requests.
 double PlacementValue::ExpectedLatePerSecond(const ModelDemand& demand, double replicas) {
   const double share =
       static_cast<double>(std::max<std::size_t>(1, demand.serving_servers)) / replicas;
--- a/src/fleet/placement_value.h
+++ b/src/fleet/placement_value.h
@@ -9,33 +9,35 @@
 
 namespace moorfold {
 
-/// What it is worth to hold a model on one server more or fewer. All values are request-seconds
-/// lost per second: how many requests, on average, wait or run slower than they should. Pure.
+/// Value of holding a model on one server more or fewer. All values are request-seconds lost per
+/// second: the average number of requests that wait or run slower than they should. Stateless.
 class PlacementValue {
  public:
   using Time = BootClock::time_point;
 
-  /// @param requests_per_server that one server runs at once and still answers in time.
+  /// @param requests_per_server concurrent requests that one server handles within the response
+  /// target.
   PlacementValue(double requests_per_server, Time now)
       : requests_per_server_(requests_per_server), now_(now) {}
 
-  /// @return what is lost while `copies` servers hold the model.
+  /// @return the loss while `replicas` servers hold the model.
   double Cost(const ModelDescription& model, const ModelDemand& demand, std::size_t replicas) const;
-  /// @return what one more copy saves.
+  /// @return the loss that one more replica avoids.
   double Gain(const ModelDescription& model, const ModelDemand& demand,
               std::size_t replicas) const {
     return Cost(model, demand, replicas) - Cost(model, demand, replicas + 1);
   }
-  /// @return whether there is more work than that many servers do in time.
+  /// @return whether the demand exceeds the capacity of that many servers.
   bool Overloaded(const ModelDemand& demand, std::size_t replicas) const {
     return RequiredServers(demand) > static_cast<double>(replicas);
   }
-  /// @return what one more copy saves by answers that come in time. It is apart from `Gain` since
-  /// it weighs less than a model that stands nowhere: it is no reason to take a last copy away.
+  /// @return the loss that one more replica avoids through fewer late responses. Separate from
+  /// `Gain` because it does not justify evicting another model's last replica: a model without a
+  /// replica loses more.
   double LateResponseGain(const ModelDemand& demand, std::size_t replicas) const;
-  /// @return whether answers would still come late with that many copies.
+  /// @return whether late responses would persist with that many replicas.
   bool HasLateResponses(const ModelDemand& demand, std::size_t replicas) const;
-  /// @return what one copy fewer costs; `copies` is at least 1.
+  /// @return the additional loss with one replica fewer; `replicas` is at least 1.
   double RemovalLoss(const ModelDescription& model, const ModelDemand& demand,
                      std::size_t replicas) const;
 
--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -1,4 +1,4 @@
-// Datagrams between daemons.
+// Tests the datagrams between daemons.
 
 #include "fleet/demand_channel.h"
 
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("An address for datagrams that is in use is named, with what to do") {
+TEST_CASE("The error for a datagram address in use names the address and a remedy") {
   boost::asio::io_context context;
   const DemandChannel::Handlers none{[](const DemandReport&) {},
                                      [](const PlacementNotice&, const std::string&) {},
@@ -43,7 +43,7 @@
   }
 }
 
-TEST_CASE("Reports and notices pass between daemons; what is no message is left alone") {
+TEST_CASE("Reports and notices pass between daemons; datagrams that are no message are ignored") {
   boost::asio::io_context context;
   std::vector<DemandReport> reports;
   std::vector<PlacementNotice> notices;
@@ -112,7 +112,7 @@
   }
   REQUIRE(entries == 60);
   while (dropped.empty() && BootClock::now() < give_up) context.run_one_for(milliseconds(50));
-  REQUIRE(dropped.size() == 1);  // The stray datagram is told of.
+  REQUIRE(dropped.size() == 1);  // The invalid datagram is reported.
   CHECK(dropped[0].starts_with("received: "));
   CHECK(reports[0].unreachable == std::vector<std::string>{"i-9"});
   CHECK(reports[0].uptime_ms == 1'234);
@@ -121,7 +121,7 @@
   const auto questions = std::count_if(
       reports.begin(), reports.end(),
       [](const DemandReport& part) { return part.question && part.question->revision == At(12); });
-  CHECK(questions == 1);  // However many datagrams a report takes.
+  CHECK(questions == 1);  // Independent of the number of datagrams that the report takes.
   ChangeAnswer answer;
   answer.asked_at_us = 77;
   answer.daemons = 7;
--- a/test/fleet/fleet_demand_test.cc
+++ b/test/fleet/fleet_demand_test.cc
@@ -1,4 +1,4 @@
-// What daemons report of demand adds up at the leader, and the bound on loads.
+// Tests how the leader aggregates demand reports, and the limit on the rate of loads.
 
 #include "fleet/fleet_demand.h"
 
@@ -17,7 +17,7 @@
 
 const Time kNow{seconds(1000)};
 
-TEST_CASE("Loads that may begin keep to the rate in every window, also late ones") {
+TEST_CASE("Loads that may begin keep to the rate in every window, including unanswered ones") {
   LoadWindow window(milliseconds(5'000));
   CHECK(window.Free(4, kNow) == 20);
   for (int load = 0; load < 20; ++load) window.Count(kNow);
@@ -28,7 +28,7 @@
   CHECK(window.Free(4, kNow + seconds(30)) == 20);
 }
 
-TEST_CASE("Demand adds up over daemons, and a silent daemon's share passes") {
+TEST_CASE("Demand adds up over daemons, and the share of a silent daemon expires") {
   FleetDemand demand;
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 1, 2, 3}}), kNow);
   demand.Add(MakeReport("two", {{"s", {"m", ""}, 4, 0, 1}}), kNow);
@@ -42,7 +42,7 @@
   CHECK(demand.ForService("other", kNow).empty());
 }
 
-TEST_CASE("How long a model is unserved counts over repeated waits, and ends with a served one") {
+TEST_CASE("The unserved time of a model spans repeated waits and ends with a served request") {
   FleetDemand demand;
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 1, 0, 1}}), kNow);
   demand.Add(MakeReport("one", {{"s", {"m", ""}, 0, 0, 0}}), kNow + seconds(2));
@@ -52,13 +52,13 @@
   CHECK(demand.ForService("s", kNow + seconds(8)).at({"m", ""}).unserved_s == 0);
 }
 
-TEST_CASE("Late answers are told to the leader once, and fade") {
-  DemandCounters book;
-  book.CountsOf("s", {"m", ""}).late = 3;
-  const std::vector<DemandEntry> entries = book.Take();
+TEST_CASE("Late responses are reported to the leader once, and their rate decays") {
+  DemandCounters counters;
+  counters.CountsOf("s", {"m", ""}).late = 3;
+  const std::vector<DemandEntry> entries = counters.Take();
   REQUIRE(entries.size() == 1);
   CHECK(entries[0].late == 3);
-  CHECK(book.Take().empty());
+  CHECK(counters.Take().empty());
   FleetDemand demand;
   demand.Add(MakeReport("one", entries), kNow);
   const double now = demand.ForService("s", kNow).at({"m", ""}).late_responses_per_second;
@@ -67,7 +67,9 @@
         now / 4);
 }
 
-TEST_CASE("A server is out of reach when two daemons say so, not one that may itself be cut off") {
+TEST_CASE(
+    "A server is unreachable if two daemons report it, not if one does that may itself be "
+    "isolated") {
   FleetDemand demand;
   demand.Add(MakeReport("one", {}, {"i"}), kNow);
   demand.Add(MakeReport("one", {}, {"i"}), kNow + milliseconds(100));
@@ -77,7 +79,5 @@
   CHECK_FALSE(demand.Unreachable("i", kNow + seconds(3)));
 }
 
-/// What random fleets hold and ask for; servers in the order of their ids.
-
 }  // namespace
 }  // namespace moorfold
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -1,6 +1,6 @@
-// Each record and message as every landed build has written it, byte for byte
-// (golden/BUILD/NAME.hex): this build reads them all. What it writes itself is kept, too, and the
-// body that builds without a format of their own read is unchanged in it.
+// Tests that this build decodes each record and message as every released build encoded it
+// (golden/BUILD/NAME.hex). The encoding of this build is fixed as well, and the body that builds
+// without a format number decode is unchanged in it.
 
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -18,8 +18,9 @@
 constexpr const char* kWithoutLives = "1cbede5";
 constexpr const char* kWithLives = "f8f162a";
 constexpr const char* kFormatOne = "format-1";
-constexpr const char* kPermits = "permits";  ///< What came with limits of servers, the same.
-constexpr const char* kRelays = "relays";    ///< What came with relays, also of format 1.
+constexpr const char* kPermits =
+    "permits";                             ///< Messages added with server limits, also of format 1.
+constexpr const char* kRelays = "relays";  ///< Messages added with relays, also of format 1.
 
 std::string Load(const std::string& build, const std::string& name) {
   std::ifstream file(kGolden / build / (name + ".hex"));
@@ -37,7 +38,7 @@
   return std::get<Content>(DecodeMessage<FleetMessage>(Load(build, name)));
 }
 
-/// The same message as every build has written it.
+/// The messages that every build's golden files contain.
 struct GoldenMessages {
   GoldenMessages() {
     held = {"edge-1", "10.0.0.1:7001", true, false, {}, 3};
@@ -96,7 +97,7 @@
     granted.grants = {{"tenant-1", {{1.5, 3}}, true, 900}};
   }
 
-  /// By the name of its file.
+  /// By file name.
   std::map<std::string, std::string> Encoded() const {
     return {{"leader_held", EncodeMessage(held)},
             {"leader_released", EncodeMessage(released)},
@@ -123,7 +124,7 @@
   CreditAnswer granted;
 };
 
-TEST_CASE("What this build writes begins with the body that earlier builds read, to the byte") {
+TEST_CASE("Encoded messages begin with the body that earlier builds decode, byte for byte") {
   for (const auto& [name, bytes] : GoldenMessages().Encoded()) {
     CAPTURE(name);
     CHECK(bytes == Load(kFormatOne, name));
@@ -132,7 +133,7 @@
   }
 }
 
-TEST_CASE("This build reads what each landed build has written") {
+TEST_CASE("This build decodes the messages of each released build") {
   const GoldenMessages golden;
   for (const std::string build : {kWithoutLives, kWithLives, kFormatOne}) {
     CAPTURE(build);
@@ -189,7 +190,7 @@
   }
 }
 
-/// What builds that know relays write and others do not.
+/// Messages and fields that only builds with relay support write.
 struct RelayMessages {
   RelayMessages() {
     const GoldenMessages golden;
@@ -233,7 +234,7 @@
   ConfigurationPart text;
 };
 
-TEST_CASE("Messages of relays are written, and read, as the first build wrote them") {
+TEST_CASE("Relay messages are encoded and decoded as in the first build that had them") {
   const RelayMessages golden;
   for (const auto& [name, bytes] : golden.Encoded()) {
     CAPTURE(name);
@@ -259,7 +260,7 @@
   CHECK(text.bytes == "{}");
 }
 
-/// What builds that know limits of servers write and others do not.
+/// Messages that only builds with server limits write.
 struct PermitMessages {
   std::map<std::string, std::string> Encoded() const {
     return {{"permit_question", EncodeMessage(FleetMessage(question))},
@@ -269,7 +270,7 @@
   PermitAnswer answer{123, PermitVerdict::kDenied, 900'000};
 };
 
-TEST_CASE("Messages on limits of servers are written, and read, as the first build wrote them") {
+TEST_CASE("Messages on server limits are encoded and decoded as in the first build that had them") {
   const PermitMessages golden;
   for (const auto& [name, bytes] : golden.Encoded()) {
     CAPTURE(name);
@@ -284,7 +285,7 @@
   CHECK(answer.wait_us == 900'000);
 }
 
-TEST_CASE("A report or an answer of a build without relays tells of none") {
+TEST_CASE("A report or a response of a build without relays decodes without relay fields") {
   const auto report = LoadMessage<DemandReport>(kFormatOne, "demand_report");
   CHECK_FALSE(report.relay_plan);
   CHECK(report.zone == 0);
@@ -293,7 +294,7 @@
   CHECK(answer.leader.empty());
 }
 
-TEST_CASE("What is no address is told as none") {
+TEST_CASE("An invalid address is packed as 0, which unpacks as empty") {
   CHECK(UnpackAddress(PackAddress("10.4.0.106:8648")) == "10.4.0.106:8648");
   CHECK(UnpackAddress(PackAddress("255.255.255.255:65535")) == "255.255.255.255:65535");
   CHECK(PackAddress("nowhere") == 0);
@@ -302,7 +303,7 @@
   CHECK(UnpackAddress(-5).empty());
 }
 
-TEST_CASE("Fields that a later build adds are passed over, and missing ones have their default") {
+TEST_CASE("Unknown added fields are ignored, and missing ones take their default") {
   const GoldenMessages golden;
   const std::string body = Load(kWithLives, "demand_report");
   AddedFields later;
@@ -314,7 +315,7 @@
   const auto without =
       std::get<DemandReport>(DecodeMessage<FleetMessage>(WriteFormatted(body, {})));
   CHECK(without.question->revision.era == kEraUntold);
-  // A field of a kind that this build does not know: a text of three bytes under tag 2.
+  // A field of a type that this build does not know: a text of three bytes under tag 2.
   const std::string text = std::string(
       "\x02\x00\x03\x00"
       "abc",
@@ -325,12 +326,12 @@
   CHECK(std::get<DemandReport>(DecodeMessage<FleetMessage>(bytes)).sender == "edge-3");
 }
 
-TEST_CASE("What is no message of any build is refused, and its format told where it states one") {
+TEST_CASE("Invalid messages are rejected, and their format is reported if they state one") {
   const std::string report = Load(kWithLives, "demand_report");
   CHECK_THROWS(DecodeMessage<FleetMessage>(report.substr(0, report.size() - 1)));
   CHECK_THROWS(DecodeMessage<FleetMessage>(report + "x"));
   std::string unknown_kind = report;
-  unknown_kind[1] = 100;  // A kind of message that only a later build knows.
+  unknown_kind[1] = 100;  // A message type that only a later build knows.
   const std::string stated = WriteFormatted(unknown_kind, {});
   CHECK_THROWS(DecodeMessage<FleetMessage>(stated));
   CHECK(FormatOf(stated) == kMessageFormat);
--- a/test/fleet/placement_test.cc
+++ b/test/fleet/placement_test.cc
@@ -1,4 +1,4 @@
-// The planner's decisions.
+// Tests the steps that PlacementPlanner chooses.
 
 #include <rapidcheck.h>
 
@@ -58,7 +58,7 @@
   return planner.Plan();
 }
 
-TEST_CASE("A model that is waited for is loaded once, where it comes quickest") {
+TEST_CASE("A model with waiting requests is loaded once, on the server that loads it fastest") {
   PlannedServer disk = MakeServer("disk", {});
   disk.on_disk = {"a"};
   PlannedServer memory = MakeServer("memory", {});
@@ -68,13 +68,13 @@
   CHECK(steps[0].server_id == "memory");
   CHECK_FALSE(steps[0].from_weight_store);
   CHECK(steps[0].expected == milliseconds(400));
-  SECTION("and not while it is on its way") {
+  SECTION("and not again while it is loading") {
     memory.loading_model = "a";
     CHECK(Plan({{{"a", ""}, Waiting(5)}}, {MakeServer("store", {}), disk, memory}).empty());
   }
 }
 
-TEST_CASE("What is idle the longest makes room; what is needed stays") {
+TEST_CASE("The model that is idle the longest is evicted; models in use stay") {
   ModelDemand old;
   old.long_term_arrivals_per_second = 0.1;
   old.last_seen = kNow - seconds(50);
@@ -87,13 +87,14 @@
   CHECK(steps[0].kind == ServerOrderKind::kUnload);
   CHECK(steps[0].name.model == "c");
   CHECK(steps[0].reserved_for == "a");
-  SECTION("a busy only copy is not given up for one request") {
+  SECTION("the last replica of a busy model is not evicted for one request") {
     CHECK(Plan({{{"a", ""}, Waiting(1)}, {{"b", ""}, Busy(8)}, {{"c", ""}, Busy(8)}},
                {MakeServer("i", {"b", "c"})})
               .empty());
   }
-  SECTION("of a surplus that is busy and an idle model, the idle one goes") {
-    // Found on the bench: the copy of a busy model was unloaded while its requests ran.
+  SECTION("an idle model is evicted instead of the surplus replica of a busy one") {
+    // Guards against unloading a replica of a busy model while its requests run, as seen on the
+    // bench.
     const auto other = Plan({{{"a", ""}, Waiting(1)}, {{"b", ""}, Busy(4)}, {{"c", ""}, old}},
                             {MakeServer("i", {"b", "c"}), MakeServer("j", {"b", "d"})});
     REQUIRE(other.size() == 1);
@@ -101,7 +102,7 @@
   }
 }
 
-TEST_CASE("Room that was made for a model is used for it") {
+TEST_CASE("Memory freed for a model is used to load that model") {
   PlannedServer server = MakeServer("i", {"b"});
   server.reserved_for = "a";
   const auto steps = Plan({}, {server});
@@ -110,7 +111,7 @@
   CHECK(steps[0].name.model == "a");
 }
 
-TEST_CASE("Loads from the weight store keep to what is free of them") {
+TEST_CASE("Loads from the weight store do not exceed the available number of loads") {
   std::map<ModelReference, ModelDemand> demand;
   for (const char* name : {"a", "b", "c", "d"}) demand[{name, ""}] = Waiting(1);
   const std::vector<PlannedServer> servers = {MakeServer("i", {}), MakeServer("j", {}),
@@ -120,7 +121,8 @@
   CHECK(Plan(demand, servers, 10).size() == 4);
 }
 
-TEST_CASE("Long loads from the store are for what no server has at hand, or for too few servers") {
+TEST_CASE(
+    "Long loads from the store need a model without a local copy, or one with too few replicas") {
   EngineDescription engine = MakeEngine();
   for (ModelDescription& model : engine.models) model.load_time = milliseconds(6'000);
   const auto plan = [&](std::map<ModelReference, ModelDemand> demand,
@@ -131,20 +133,21 @@
   };
   PlannedServer busy = MakeServer("busy", {"b", "c"});
   busy.on_disk = {"a"};
-  busy.accepts_orders = false;  // It will take orders again within a second.
+  busy.accepts_orders = false;  // Accepts orders again within a second.
   const PlannedServer empty = MakeServer("empty", {});
   CHECK(plan({{{"a", ""}, Waiting(1)}}, {busy, empty}).empty());
   busy.on_disk.clear();
-  const auto only_way = plan({{{"a", ""}, Waiting(20)}}, {busy, empty});
-  REQUIRE(only_way.size() == 1);
-  CHECK(only_way[0].from_weight_store);
+  const auto only_source = plan({{{"a", ""}, Waiting(20)}}, {busy, empty});
+  REQUIRE(only_source.size() == 1);
+  CHECK(only_source[0].from_weight_store);
   busy.models = {{"a", {}}};
   const auto overload = plan({{{"a", ""}, Busy(90)}}, {busy, empty});
   REQUIRE(overload.size() == 1);
   CHECK(overload[0].from_weight_store);
 }
 
-TEST_CASE("A model that is asked for again and again gets its turn, however busy the others are") {
+TEST_CASE(
+    "A model with repeated unserved requests is eventually loaded, however busy the others are") {
   std::map<ModelReference, ModelDemand> demand = {
       {{"a", ""}, Waiting(1)}, {{"b", ""}, Busy(8)}, {{"c", ""}, Busy(8)}};
   const std::vector<PlannedServer> servers = {MakeServer("i", {"b", "c"})};
@@ -155,7 +158,7 @@
   CHECK(steps[0].reserved_for == "a");
 }
 
-TEST_CASE("Adapters go beside their model, and the least asked one makes room") {
+TEST_CASE("Adapters are placed with their model, and the least requested one is evicted") {
   PlannedServer holder = MakeServer("i", {"a"});
   const auto load = Plan({{{"a", "x"}, Waiting(1)}}, {holder, MakeServer("j", {"b"})});
   REQUIRE(load.size() == 1);
@@ -216,9 +219,10 @@
   });
 }
 
-TEST_CASE("Planning for a large fleet stays quick enough for a weak machine") {
-  // Found on the grown deployment: the leader planned for seconds and missed configurations. The
-  // bound is on the work, not on time: servers looked at for each plan.
+TEST_CASE("Planning for a large fleet is cheap enough for a slow machine") {
+  // Guards against plans that take the leader seconds, so that it misses configurations, as seen on
+  // the enlarged deployment. The bound is on work, not on time: the models placed, each of which
+  // examines all servers.
   EngineDescription engine;
   engine.weights_mb = 200;
   engine.adapter_slots = 8;
@@ -235,7 +239,7 @@
   CHECK(planner.Plan().size() <= 16);
 }
 
-/// As Plan, with loads from the weight store that take 6 s.
+/// Like Plan, but loads from the weight store take 6 s.
 std::vector<PlacementStep> PlanLongLoads(std::map<ModelReference, ModelDemand> demand,
                                          std::vector<PlannedServer> servers) {
   EngineDescription engine = MakeEngine();
@@ -246,29 +250,32 @@
 }
 
 TEST_CASE(
-    "A model whose answers come late gets another copy, from the store where no server has one") {
-  // 295 daemons: three models made four of five late streams on a tenth of the servers, and a
-  // second copy from the store was never worth its load.
+    "A model with late responses gets another replica, from the store if no server has a copy") {
+  // Guards against never adding a replica from the store. With 295 daemons, three models caused
+  // four of five late streams on a tenth of the servers, because a second replica from the store
+  // never repaid its load.
   std::vector<PlannedServer> servers = {MakeServer("holder", {"a"})};
   for (int server = 0; server < 19; ++server)
     servers.push_back(MakeServer("free-" + std::to_string(server), {}));
   ModelDemand demand = Busy(20);
-  CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());  // In time.
+  CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());  // No late responses.
   demand.late_responses_per_second = 5;
   const std::vector<PlacementStep> steps = PlanLongLoads({{{"a", ""}, demand}}, servers);
   REQUIRE(steps.size() == 1);
   CHECK(steps[0].kind == ServerOrderKind::kLoad);
   CHECK(steps[0].from_weight_store);
-  demand.long_term_arrivals_per_second = 0.05 * demand.arrivals_per_second;  // Since a second.
+  demand.long_term_arrivals_per_second =
+      0.05 * demand.arrivals_per_second;  // Demand that began about a second ago.
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());
-  // A small fleet has no server to spare for seconds.
+  // A small fleet cannot block a server for seconds.
   demand.long_term_arrivals_per_second = demand.arrivals_per_second;
   servers.resize(3);
   demand.late_responses_per_second = 1;
   CHECK(PlanLongLoads({{{"a", ""}, demand}}, servers).empty());
 }
 
-TEST_CASE("A late answer is no reason to take a model's last copy, a surplus copy makes room") {
+TEST_CASE(
+    "Late responses do not evict a model's last replica; a surplus replica is evicted instead") {
   ModelDemand late = Busy(20);
   late.late_responses_per_second = 10;
   ModelDemand rare = Busy(0);
@@ -286,22 +293,22 @@
   CHECK(steps[0].name.model == "b");
 }
 
-TEST_CASE("Copies on their way count against answers that still come late") {
+TEST_CASE("Replicas that are loading count against further replicas for late responses") {
   std::vector<PlannedServer> servers = {MakeServer("holder", {"a"})};
   for (int server = 0; server < 19; ++server)
     servers.push_back(MakeServer("free-" + std::to_string(server), {}));
   ModelDemand demand = Busy(20);
   demand.late_responses_per_second = 5;
-  std::size_t on_their_way = 0;
-  while (on_their_way < servers.size()) {
+  std::size_t loading_replicas = 0;
+  while (loading_replicas < servers.size()) {
     const std::vector<PlacementStep> steps = Plan({{{"a", ""}, demand}}, servers);
     if (steps.empty()) break;
     for (PlannedServer& server : servers)
       if (server.id == steps[0].server_id) server.loading_model = "a";
-    ++on_their_way;
+    ++loading_replicas;
   }
-  CHECK(on_their_way >= 1);
-  CHECK(on_their_way <= 4);
+  CHECK(loading_replicas >= 1);
+  CHECK(loading_replicas <= 4);
 }
 
 struct AdapterFleet {
@@ -332,20 +339,20 @@
   return fleet;
 }
 
-/// @return "SERVER NAME", of each step for an adapter that is waited for.
+/// @return "SERVER NAME" for each load step of an adapter with waiting requests.
 std::vector<std::string> StepsForWaiting(const AdapterFleet& fleet,
                                          const std::vector<PlacementStep>& steps) {
-  std::vector<std::string> told;
+  std::vector<std::string> load_steps;
   for (const PlacementStep& step : steps) {
     const auto wanted = fleet.demand.find(step.name);
     const bool waits = wanted != fleet.demand.end() && wanted->second.waiting > 0;
     if (waits && step.kind == ServerOrderKind::kLoad)
-      told.push_back(step.server_id + " " + ToString(step.name));
+      load_steps.push_back(step.server_id + " " + ToString(step.name));
   }
-  return told;
+  return load_steps;
 }
 
-TEST_CASE("Adapters that are waited for go where a plan over all servers takes them") {
+TEST_CASE("Adapters with waiting requests are placed as in a plan over all servers") {
   rc::check([] {
     const AdapterFleet fleet = MakeAdapterFleet();
     std::vector<PlannedServer> holding;
--- a/test/fleet/placement_value_test.cc
+++ b/test/fleet/placement_value_test.cc
@@ -1,4 +1,4 @@
-// What copies are worth, and how many loads from the weight store are worth having at once.
+// Tests the value of replicas and the limit of concurrent loads from the weight store.
 
 #include "fleet/placement_value.h"
 
@@ -29,7 +29,7 @@
   return demand;
 }
 
-TEST_CASE("The last copy is worth more the more often its model is asked for") {
+TEST_CASE("The last replica is worth more the more often its model is requested") {
   const PlacementValue value(kRequestsPerServer, kNow);
   const double rare = value.RemovalLoss(MakeModel(), MakeDemand(0, 0.1), 1);
   const double usual = value.RemovalLoss(MakeModel(), MakeDemand(0, 1), 1);
@@ -38,13 +38,13 @@
   CHECK(value.RemovalLoss(MakeModel(), MakeDemand(0, 0.1), 2) < rare);
 }
 
-TEST_CASE("A model that demand has left is worth little, however busy it was") {
+TEST_CASE("A model without recent requests is worth little, however busy it was") {
   const PlacementValue value(kRequestsPerServer, kNow);
   CHECK(value.RemovalLoss(MakeModel(), MakeDemand(0, 15, seconds(10)), 1) <
         value.RemovalLoss(MakeModel(), MakeDemand(0, 0.5), 1));
 }
 
-TEST_CASE("Work beyond what the servers bear counts in full") {
+TEST_CASE("Demand beyond the servers' capacity counts in full") {
   const PlacementValue value(kRequestsPerServer, kNow);
   const ModelDemand busy = MakeDemand(100, 20);
   CHECK(value.Overloaded(busy, 2));
@@ -53,7 +53,7 @@
   CHECK(value.Gain(MakeModel(), busy, 3) < 5);
 }
 
-TEST_CASE("Late answers make copies worth more, each less than the one before") {
+TEST_CASE("Late responses make replicas worth more, each less than the one before") {
   const PlacementValue value(kRequestsPerServer, kNow);
   ModelDemand demand = MakeDemand(10, 10);
   demand.serving_servers = 2;
@@ -63,10 +63,10 @@
   CHECK_FALSE(value.HasLateResponses(demand, 8));
   CHECK(value.LateResponseGain(demand, 2) > 3);
   CHECK(value.LateResponseGain(demand, 3) < value.LateResponseGain(demand, 2));
-  CHECK(value.LateResponseGain(demand, 0) == 0);  // Nothing is late where nothing stands.
+  CHECK(value.LateResponseGain(demand, 0) == 0);  // Without a replica no response is late.
 }
 
-TEST_CASE("One more copy never costs, and each is worth less than the one before") {
+TEST_CASE("One more replica never costs, and each is worth less than the one before") {
   rc::check([] {
     const PlacementValue value(kRequestsPerServer, kNow);
     const ModelDemand demand =
@@ -82,32 +82,34 @@
   });
 }
 
-TEST_CASE("Loads at once follow the number from which on each takes longer") {
-  // Found on the bench: thirteen loads at once took 12 s each where four take 6 s.
+TEST_CASE("The limit of concurrent loads follows the number beyond which each takes longer") {
+  // Guards against too many concurrent loads: in a benchmark, thirteen took 12 s each, and four
+  // took 6 s.
   StoreLoadLimit limit;
   for (int load = 0; load < 20; ++load)
     limit.NoteLoad(milliseconds(6'000), milliseconds(6'100),
                    static_cast<std::size_t>(limit.limit()), kNow);
   CHECK(limit.limit() > 10);
   limit.NoteLoad(milliseconds(6'000), milliseconds(12'000), 10, kNow);
-  CHECK(limit.limit() == Approx(5));  // Ten at half of the speed: five get all of it.
+  CHECK(limit.limit() == Approx(5));  // Ten at half the speed: five run at full speed.
   CHECK(limit.Free(3, milliseconds(6'000)) == Approx(2));
   CHECK(limit.Free(9, milliseconds(6'000)) == 0);
-  // It is not tried again at once, but after a while.
+  // The limit rises again only after a while.
   limit.NoteLoad(milliseconds(6'000), milliseconds(6'100), 5, kNow + std::chrono::seconds(59));
   CHECK(limit.limit() == Approx(5));
   limit.NoteLoad(milliseconds(6'000), milliseconds(6'100), 5, kNow + std::chrono::seconds(61));
   CHECK(limit.limit() == Approx(6));
 }
 
-TEST_CASE("Where loads are long, few begin before one has been timed, and a late one shows early") {
+TEST_CASE(
+    "Few long loads begin before one is timed, and a late load lowers the limit before it ends") {
   StoreLoadLimit limit;
   CHECK(limit.Free(0, milliseconds(13'200)) == Approx(1));
   CHECK(limit.Free(0, milliseconds(6'000)) == Approx(2));
   CHECK(limit.Free(0, milliseconds(1'300)) == Approx(4));
   limit.NoteLoad(milliseconds(13'200), milliseconds(13'300), 1, kNow);
   CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2));
-  limit.NoteUnderWay(milliseconds(13'200), milliseconds(16'900), 2, kNow);  // Not yet late.
+  limit.NoteUnderWay(milliseconds(13'200), milliseconds(16'900), 2, kNow);  // Not late yet.
   CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2));
   limit.NoteUnderWay(milliseconds(13'200), milliseconds(17'100), 2, kNow);
   CHECK(limit.Free(0, milliseconds(13'200)) == Approx(2 * 13.2 / 17.1));
@@ -115,7 +117,7 @@
   CHECK(limit.Free(0, milliseconds(13'200)) == Approx(1));
 }
 
-TEST_CASE("Short loads whose end is seen late do not count as slowed") {
+TEST_CASE("Short loads whose end is observed late do not count as slowed") {
   StoreLoadLimit limit;
   for (int load = 0; load < 20; ++load)
     limit.NoteLoad(milliseconds(1'300), milliseconds(2'000),
@@ -125,7 +127,7 @@
   CHECK(limit.limit() == Approx(5));
 }
 
-TEST_CASE("The bound on loads at once stays between its bounds, whatever loads take") {
+TEST_CASE("The limit of concurrent loads stays within its bounds, whatever loads take") {
   rc::check([] {
     StoreLoadLimit limit;
     for (int load = 0; load < 50; ++load) {
