--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -16,8 +16,8 @@
   std::uint32_t waiting = 0;    ///< Requests that found no usable server holding it.
   std::uint32_t in_flight = 0;  ///< Requests currently at servers.
   std::uint32_t arrivals = 0;   ///< Requests since the last report.
-  std::uint32_t late =
-      0;  ///< Requests ended since the last report whose response was late because of their server.
+  /// Requests ended since the last report whose response was late because of their server.
+  std::uint32_t late = 0;
 };
 
 /// Counts a daemon's demand between reports. Not thread-safe.
--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -53,15 +53,15 @@
   std::optional<FleetMessage> message;
   try {
     message = DecodeMessage<FleetMessage>(bytes);
-  } catch (
-      const std::exception& error) {  // Ignores other builds' messages and malformed datagrams.
+  } catch (const std::exception& error) {
+    // Ignores messages of other builds and malformed datagrams.
     handlers_.on_undecodable({from, FormatOf(bytes), std::string("received: ") + error.what()});
     return;
   }
   try {
     Dispatch(std::move(*message), from);
-  } catch (const std::exception&
-               error) {  // The message contains an invalid value, such as a malformed address.
+  } catch (const std::exception& error) {
+    // The message contains an invalid value, such as a malformed address.
     handlers_.on_drop(std::string("received: ") + error.what());
   }
 }
--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -24,7 +24,8 @@
 constexpr milliseconds kAdapterLoadTime{15};
 /// Target share of a server's slots. With a higher load, requests queue and are preempted; with a
 /// lower one, rarely requested models are not placed. 0.2 instead cost 0.036 of the attainable
-/// response value (standard error 0.006, paired days of one deployment).
+/// response value (responses within their route target earn full value; standard error 0.006,
+/// paired days of one deployment).
 constexpr double kTargetSlotUtilization = 0.6;
 
 const char* OutcomeName(ServerOrderOutcome outcome) {
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -35,8 +35,8 @@
   bool from_weight_store = false;  ///< Whether `loading_model` loads from the weight store.
   SteadyTime load_started{};       ///< When the load of `loading_model` began.
   std::chrono::milliseconds expected_load_time{0};
-  std::size_t concurrent_loads =
-      0;                  ///< Loads from the weight store in progress when this one began.
+  /// Loads from the weight store in progress when this one began.
+  std::size_t concurrent_loads = 0;
   SteadyTime ready_at{};  ///< Expected completion of `loading_model`.
   std::string reserved_for;
   SteadyTime not_before{};  ///< Earliest time of the next order, after a failure.
@@ -141,8 +141,8 @@
   FleetDemand demand_;
   std::map<std::string, ManagedServerPtr> managed_;
   StoreLoadLimit store_limit_;
-  std::int64_t managed_term_ =
-      0;  ///< Fencing token of the leadership term to which `managed_` belongs.
+  /// Fencing token of the leadership term to which `managed_` belongs.
+  std::int64_t managed_term_ = 0;
   std::size_t sending_ = 0;
   bool stopped_ = false;
 };
--- a/src/fleet/fleet_demand.h
+++ b/src/fleet/fleet_demand.h
@@ -14,8 +14,8 @@
   double waiting = 0;  ///< Requests that found no server.
   double in_flight = 0;
   double arrivals_per_second = 0;  ///< Short-term average, over a few seconds.
-  double long_term_arrivals_per_second =
-      0;  ///< Long-term average, over some tens of seconds, for rarely requested models.
+  /// Long-term average, over some tens of seconds, for rarely requested models.
+  double long_term_arrivals_per_second = 0;
   /// Short-term average rate of responses that were late because of their servers: the first part
   /// or a pause between parts took longer than the route's target.
   double late_responses_per_second = 0;
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -71,8 +71,8 @@
   bool stopping = false;       ///< The sender is in a planned stop.
   std::vector<DemandEntry> entries;
   std::vector<std::string> unreachable;  ///< Servers to which recent connections failed.
-  std::optional<ChangeQuestion>
-      question;                           ///< Asks for changes in the store; only in the last part.
+  /// Asks for changes in the store; only in the last part.
+  std::optional<ChangeQuestion> question;
   std::uint64_t quarantine_digest = 0;    ///< Digest of the sender's quarantine cases.
   std::uint16_t format = kMessageFormat;  ///< Message format of the sender's build.
   ZoneId zone = 0;                        ///< Zone of the sender; 0: unknown. An added field.
@@ -92,8 +92,8 @@
   std::string server_id;
   ModelReference name;
   bool held = true;
-  std::int64_t expected_ms =
-      0;  ///< If positive: the server does not hold it yet and is expected to after this time.
+  /// If positive: the server does not hold it yet and is expected to after this time.
+  std::int64_t expected_ms = 0;
   std::int64_t life = 0;  ///< Incarnation of the server, see ServerRecord::life.
 
   template <typename Archive>
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -8,8 +8,9 @@
 namespace {
 
 /// Time in which a better placement has to repay its loads and evictions; demand is not predicted
-/// further ahead. 5 s gained 0.040 of the attainable response value over 10 s (standard error
-/// 0.009, paired days of one deployment); 3 s performed like 5 s.
+/// further ahead. 5 s gained 0.040 of the attainable response value (responses within their route
+/// target earn full value) over 10 s (standard error 0.009, paired days of one deployment); 3 s
+/// performed like 5 s.
 constexpr double kPlanningHorizonS = 5;
 /// Request-seconds that an eviction costs in addition to the victim's value: the server takes no
 /// other order meanwhile and drops the victim's cached prompts, and other servers may lack the
--- a/src/fleet/placement_planner.h
+++ b/src/fleet/placement_planner.h
@@ -18,8 +18,8 @@
 /// The planner's view of a model server.
 struct PlannedServer {
   std::string id;
-  bool accepts_orders =
-      false;  ///< Serving, with no order in progress and no backoff or wait that forbids an order.
+  /// Serving, with no order in progress and no backoff or wait that forbids an order.
+  bool accepts_orders = false;
   bool serving = false;  ///< Alive and not leaving.
   std::vector<HeldModel> models;
   std::vector<std::string> in_memory;
@@ -111,8 +111,8 @@
   const EngineDescription& engine_;
   std::unordered_map<std::string, const ModelDescription*> descriptions_;
   std::unordered_map<std::string, std::size_t> replica_counts_;
-  std::unordered_set<std::string>
-      pending_models_;  ///< Models with a replica that is loading or reserved.
+  /// Models with a replica that is loading or reserved.
+  std::unordered_set<std::string> pending_models_;
   std::unordered_map<std::string, double> removal_losses_;  ///< By model, computed on demand.
   std::map<ModelReference, ModelDemand> demand_;
   std::vector<PlannedServer> servers_;
--- a/src/fleet/placement_value.cc
+++ b/src/fleet/placement_value.cc
@@ -15,7 +15,8 @@
 /// Relative slowdown of a request for each other request at its server: a step of an engine's batch
 /// takes some thousandths longer for each request, and prompts are processed between steps. On one
 /// deployment 0.001 to 0.004 performed alike and 0.01 cost 0.030 of the attainable response value
-/// (standard error 0.008, paired days); another performed better with 0.004 or more.
+/// (responses within their route target earn full value; standard error 0.008, paired days);
+/// another performed better with 0.004 or more.
 constexpr double kSlowdownPerRequest = 0.003;
 /// After this many mean intervals without a request, the estimated rate is reduced: one interval in
 /// twenty exceeds three means by chance.
--- a/test/fleet/placement_value_test.cc
+++ b/test/fleet/placement_value_test.cc
@@ -73,8 +73,8 @@
         MakeDemand(*rc::gen::inRange(0, 300), *rc::gen::inRange(0, 400) / 10.0,
                    seconds(*rc::gen::inRange(0, 60)));
     double before = value.Gain(MakeModel(), demand, 1);
-    for (std::size_t copies = 2; copies < 8; ++copies) {
-      const double gain = value.Gain(MakeModel(), demand, copies);
+    for (std::size_t replicas = 2; replicas < 8; ++replicas) {
+      const double gain = value.Gain(MakeModel(), demand, replicas);
       RC_ASSERT(gain >= 0);
       RC_ASSERT(gain <= before + 1e-9);
       before = gain;
