--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -111,8 +111,8 @@
 void DemandChannel::SendTo(const std::string& to, const FleetMessage& message) {
   try {
     Send(message, Resolve(to));
-  } catch (
-      const std::exception& error) {  // The address comes from another daemon and may be invalid.
+  } catch (const std::exception& error) {
+    // The address comes from another daemon and may be invalid.
     handlers_.on_drop(std::string("not sent: ") + error.what());
   }
 }
