--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -48,8 +48,8 @@
 };
 
 /// Executes the planner's steps while this daemon is the leader. Each server has at most one order
-/// in progress; each order carries the fencing token, the server's id and its order count. Not
-/// thread-safe.
+/// in progress; each order carries the fencing token, the id of the server's incarnation and its
+/// order count. Not thread-safe.
 class FleetController {
  public:
   using PlacementNoticeHandler = std::function<void(const PlacementNotice&)>;
