--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -189,7 +189,7 @@
   grant_sent_ = grant_sent;
   // In a store restored from a copy, the record may be outdated: another machine may have led
   // since.
-  const bool record_is_current = leader_ && leader_->TellsNow(lease.era);
+  const bool record_is_current = leader_ && leader_->IsValidInEra(lease.era);
   resuming_settled_term_ = record_is_current && leader_->name == settings_.name && leader_->settled;
   inherited_history_.reset();
   claimed_own_unreleased_key_ = leader_ && leader_->name == settings_.name && !leader_->released;
--- a/src/fleet/leader_election.h
+++ b/src/fleet/leader_election.h
@@ -89,7 +89,7 @@
   /// A leader record written in the current era ends the wait: its leader has either waited itself
   /// or passes the remaining wait on in the record.
   void NoteRecord(const LeaderRecord& record) {
-    if (era_ && record.TellsNow(*era_)) quiet_until_ = Time{};
+    if (era_ && record.IsValidInEra(*era_)) quiet_until_ = Time{};
   }
   /// @return the time before which a leader of this era sends no order.
   Time quiet_until() const { return quiet_until_; }
--- a/src/fleet/placement_value.h
+++ b/src/fleet/placement_value.h
@@ -9,38 +9,42 @@
 
 namespace moorfold {
 
-/// What it is worth to hold a model on one server more or fewer. All values are request-seconds
-/// lost per second: how many requests, on average, wait or run slower than they should. Pure.
+/// Value of holding a model on one server more or fewer. All values are request-seconds lost per
+/// second: the average number of requests that wait or run slower than they should. Stateless.
 class PlacementValue {
  public:
   using Time = BootClock::time_point;
 
-  /// @param requests_per_server that one server runs at once and still answers in time.
+  /// @param requests_per_server concurrent requests that one server handles within the response
+  /// target.
   PlacementValue(double requests_per_server, Time now)
       : requests_per_server_(requests_per_server), now_(now) {}
 
-  /// @return what is lost while `copies` servers hold the model.
-  double Cost(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const;
-  /// @return what one more copy saves.
-  double Gain(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const {
-    return Cost(model, demand, copies) - Cost(model, demand, copies + 1);
+  /// @return the loss while `replicas` servers hold the model.
+  double Cost(const ModelDescription& model, const ModelDemand& demand, std::size_t replicas) const;
+  /// @return the loss that one more replica avoids.
+  double Gain(const ModelDescription& model, const ModelDemand& demand,
+              std::size_t replicas) const {
+    return Cost(model, demand, replicas) - Cost(model, demand, replicas + 1);
   }
-  /// @return whether there is more work than that many servers do in time.
-  bool Overloaded(const ModelDemand& demand, std::size_t copies) const {
-    return Load(demand) > static_cast<double>(copies);
+  /// @return whether the demand exceeds the capacity of that many servers.
+  bool Overloaded(const ModelDemand& demand, std::size_t replicas) const {
+    return RequiredServers(demand) > static_cast<double>(replicas);
   }
-  /// @return what one more copy saves by answers that come in time. It is apart from `Gain` since
-  /// it weighs less than a model that stands nowhere: it is no reason to take a last copy away.
-  double LateGain(const ModelDemand& demand, std::size_t copies) const;
-  /// @return whether answers would still come late with that many copies.
-  bool Late(const ModelDemand& demand, std::size_t copies) const;
-  /// @return what one copy fewer costs; `copies` is at least 1.
-  double Loss(const ModelDescription& model, const ModelDemand& demand, std::size_t copies) const;
+  /// @return the loss that one more replica avoids through fewer late responses. Separate from
+  /// `Gain` because it does not justify evicting another model's last replica: a model without a
+  /// replica loses more.
+  double LateResponseGain(const ModelDemand& demand, std::size_t replicas) const;
+  /// @return whether late responses would persist with that many replicas.
+  bool HasLateResponses(const ModelDemand& demand, std::size_t replicas) const;
+  /// @return the additional loss with one replica fewer; `replicas` is at least 1.
+  double RemovalLoss(const ModelDescription& model, const ModelDemand& demand,
+                     std::size_t replicas) const;
 
  private:
-  double ExpectedRate(const ModelDemand& demand) const;
-  double Load(const ModelDemand& demand) const;
-  static double LatePerSecond(const ModelDemand& demand, double copies);
+  double ExpectedArrivalsPerSecond(const ModelDemand& demand) const;
+  double RequiredServers(const ModelDemand& demand) const;
+  static double ExpectedLatePerSecond(const ModelDemand& demand, double replicas);
 
   double requests_per_server_;
   Time now_;
