--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -6,9 +6,9 @@
 
 #include "common/async_signal.h"
 #include "fleet/demand.h"
-#include "gateway/hold_policy.h"
 #include "gateway/route_table.h"
 #include "gateway/server_directory.h"
+#include "gateway/wait_policy.h"
 
 namespace moorfold {
 
@@ -20,7 +20,7 @@
 
   RouteTableConstPtr routes;  ///< Null until a configuration is known.
   ServerDirectory servers;
-  ExpectedModels expected;
+  ExpectedModelLoads expected;
   DemandBook demand;
   SteadyTime configured_at{};             ///< When `routes` was taken over.
   SteadyTime servers_current_at{};        ///< At that time the store knew no more of servers.
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -243,12 +243,12 @@
   if (request.no_server == NoServerReason::kQuarantined) return QuarantineRefusal();
   const bool at_limit = request.no_server == NoServerReason::kAtLimit;
   const bool full = result.status != 0 && !at_limit;
-  const HeldRequest held =
+  const WaitingRequest held =
       holds_.Describe(request, full ? NoServerReason::kAllUnusable : request.no_server);
   const EndReason reason = at_limit ? EndReason::kServersAtLimit
                            : full   ? EndReason::kServersFull
                                     : EndReason::kNoServer;
-  const milliseconds come_back = ComeBackAfter(held, BootClock::now(), SpreadOf(request.id));
+  const milliseconds come_back = RetryAfter(held, BootClock::now(), JitterOf(request.id));
   return {http_status::kUnavailable, reason, "come back after the stated time", false,
           std::chrono::duration<double>(come_back).count()};
 }
@@ -273,7 +273,7 @@
     request.credit = decision.credit;
     co_return true;
   }
-  request.refusal = QuotaRefusal(decision, SpreadOf(request.id));
+  request.refusal = QuotaRefusal(decision, JitterOf(request.id));
   co_return false;
 }
 
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -9,13 +9,13 @@
 #include "gateway/fleet_view.h"
 #include "gateway/forwarder.h"
 #include "gateway/gateway_metrics.h"
-#include "gateway/hold_estimates.h"
 #include "gateway/request_admission.h"
 #include "gateway/request_reporter.h"
 #include "gateway/retry_allowance.h"
 #include "gateway/server_choice.h"
 #include "gateway/server_statements.h"
 #include "gateway/suspect_guard.h"
+#include "gateway/wait_estimator.h"
 #include "http/http_server.h"
 #include "ports/fleet_protocol.h"
 #include "quarantine/quarantine_service.h"
@@ -97,7 +97,7 @@
   PermitService& permits_;
   GatewayMetrics& metrics_;
   RequestAdmission admission_;
-  HoldEstimates holds_;
+  WaitEstimator holds_;
   SuspectGuard suspects_;
   PipelineSettings settings_;
   Forwarder forwarder_;
--- a/src/gateway/hold_estimates.cc
+++ b/src/gateway/wait_estimator.cc
@@ -1,4 +1,4 @@
-#include "gateway/hold_estimates.h"
+#include "gateway/wait_estimator.h"
 
 #include <algorithm>
 #include <chrono>
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-HeldRequest HoldEstimates::Describe(const GatewayRequest& request, NoServerReason reason) const {
-  HeldRequest held{request.arrival, request.end, reason, request.route->target, {}, {}, {}, {}};
+WaitingRequest WaitEstimator::Describe(const GatewayRequest& request, NoServerReason reason) const {
+  WaitingRequest held{request.arrival, request.end, reason, request.route->target, {}, {}, {}, {}};
   const auto usual = answer_ms_.find(request.service);
   held.answer = usual == answer_ms_.end() ? request.route->target
                                           : milliseconds(static_cast<std::int64_t>(usual->second));
@@ -47,11 +47,11 @@
   return held;
 }
 
-SteadyTime HoldEstimates::End(const GatewayRequest& request, NoServerReason reason) const {
-  return HoldUntil(Describe(request, reason));
+SteadyTime WaitEstimator::End(const GatewayRequest& request, NoServerReason reason) const {
+  return WaitDeadline(Describe(request, reason));
 }
 
-void HoldEstimates::NoteAnswerTime(const GatewayRequest& request, SteadyTime sent_at) {
+void WaitEstimator::NoteAnswerTime(const GatewayRequest& request, SteadyTime sent_at) {
   if (!request.head_sent || request.head_at < sent_at) return;
   const double taken = std::chrono::duration<double, std::milli>(request.head_at - sent_at).count();
   double& usual = answer_ms_.try_emplace(request.service, taken).first->second;
--- a/src/gateway/hold_estimates.h
+++ b/src/gateway/wait_estimator.h
@@ -5,17 +5,17 @@
 
 #include "gateway/fleet_view.h"
 #include "gateway/gateway_request.h"
-#include "gateway/hold_policy.h"
+#include "gateway/wait_policy.h"
 
 namespace moorfold {
 
 /// What the hold policy has to know of a request, from what this daemon has seen of its service and
 /// its model. One thread.
-class HoldEstimates {
+class WaitEstimator {
  public:
-  explicit HoldEstimates(const FleetView& view) : view_(view) {}
+  explicit WaitEstimator(const FleetView& view) : view_(view) {}
 
-  HeldRequest Describe(const GatewayRequest& request, NoServerReason reason) const;
+  WaitingRequest Describe(const GatewayRequest& request, NoServerReason reason) const;
   /// @return until when the request is held without a server.
   SteadyTime End(const GatewayRequest& request, NoServerReason reason) const;
   /// Takes the time from a send to the head of its answer into what is usual for the service.
--- a/src/gateway/hold_policy.cc
+++ b/src/gateway/wait_policy.cc
@@ -1,4 +1,4 @@
-#include "gateway/hold_policy.h"
+#include "gateway/wait_policy.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
 /// Where nothing is expected: a busy server has another place after about an answer's time.
 constexpr milliseconds kLeastComeBack{100};
 
-SteadyTime LastUseful(const HeldRequest& request) {
+SteadyTime LastUseful(const WaitingRequest& request) {
   SteadyTime last = request.end - request.answer;
   if (request.patience)
     last = std::min(last, request.arrival + std::chrono::duration_cast<milliseconds>(
@@ -32,7 +32,7 @@
   return last;
 }
 
-SteadyTime GivenUpAt(const Expectation& expected) {
+SteadyTime GivenUpAt(const ExpectedModelLoad& expected) {
   const auto stated =
       std::chrono::duration_cast<milliseconds>(expected.ready_at - expected.told_at);
   const auto overrun = std::chrono::duration_cast<milliseconds>(stated * kOverrun);
@@ -41,19 +41,19 @@
 
 }  // namespace
 
-void ExpectedModels::Note(const ModelReference& model, Expectation expectation) {
+void ExpectedModelLoads::Note(const ModelReference& model, ExpectedModelLoad expectation) {
   std::erase_if(by_model_,
                 [&](const auto& entry) { return GivenUpAt(entry.second) < expectation.told_at; });
   if (by_model_.size() < kMostExpected) by_model_[model.model] = expectation;
 }
 
-std::optional<Expectation> ExpectedModels::Find(const ModelReference& model) const {
+std::optional<ExpectedModelLoad> ExpectedModelLoads::Find(const ModelReference& model) const {
   const auto found = by_model_.find(model.model);
   if (found == by_model_.end()) return std::nullopt;
   return found->second;
 }
 
-SteadyTime HoldUntil(const HeldRequest& request) {
+SteadyTime WaitDeadline(const WaitingRequest& request) {
   if (request.reason == NoServerReason::kQuarantined) return request.arrival;
   const SteadyTime last_useful = LastUseful(request);
   const SteadyTime place_wanted_by = std::min(last_useful, request.arrival + request.target);
@@ -67,7 +67,7 @@
   return std::min(last_useful, given_up);
 }
 
-milliseconds ComeBackAfter(const HeldRequest& request, SteadyTime now, double spread) {
+milliseconds RetryAfter(const WaitingRequest& request, SteadyTime now, double spread) {
   milliseconds after = std::max(kLeastComeBack, request.answer);
   if (request.reason == NoServerReason::kAtLimit && request.free_at > now)
     after = std::max(after, std::chrono::ceil<milliseconds>(request.free_at - now));
@@ -79,7 +79,7 @@
   return after + std::chrono::duration_cast<milliseconds>(after * (kSpreadShare * spread));
 }
 
-double SpreadOf(const std::string& request_id) {
+double JitterOf(const std::string& request_id) {
   constexpr std::size_t kSteps = 1'000;
   return static_cast<double>(std::hash<std::string>{}(request_id) % kSteps) / kSteps;
 }
--- a/src/gateway/hold_policy.h
+++ b/src/gateway/wait_policy.h
@@ -11,24 +11,24 @@
 namespace moorfold {
 
 /// When a model or adapter is expected to stand somewhere, as the leader tells with its orders.
-struct Expectation {
+struct ExpectedModelLoad {
   SteadyTime told_at{};
   SteadyTime ready_at{};
 };
 
 /// What the leader has told of models that are on their way. Bounded; one thread.
-class ExpectedModels {
+class ExpectedModelLoads {
  public:
-  void Note(const ModelReference& model, Expectation expectation);
+  void Note(const ModelReference& model, ExpectedModelLoad expectation);
   /// @return what is expected of the model, or of the base model of an adapter.
-  std::optional<Expectation> Find(const ModelReference& model) const;
+  std::optional<ExpectedModelLoad> Find(const ModelReference& model) const;
 
  private:
-  std::map<std::string, Expectation> by_model_;  ///< By base model: adapters follow at once.
+  std::map<std::string, ExpectedModelLoad> by_model_;  ///< By base model: adapters follow at once.
 };
 
 /// A request that no server can take now.
-struct HeldRequest {
+struct WaitingRequest {
   SteadyTime arrival;
   SteadyTime end;  ///< The earlier of its deadline and its route's time-out.
   NoServerReason reason = NoServerReason::kNone;
@@ -36,7 +36,7 @@
   std::chrono::milliseconds load{0};    ///< Of its model, from a server's disk, as stated.
   std::chrono::milliseconds answer{0};  ///< Until an answer of its kind usually begins.
   std::optional<std::chrono::milliseconds> patience;  ///< Of its client with a silent stream.
-  std::optional<Expectation> expected;                ///< Of its model.
+  std::optional<ExpectedModelLoad> expected;          ///< Of its model.
   SteadyTime free_at{};  ///< Where all its servers are at their limits: when the first takes more.
 };
 
@@ -62,14 +62,14 @@
 ///
 /// Pure.
 /// @return until when it is held; in the past: not at all.
-SteadyTime HoldUntil(const HeldRequest& request);
+SteadyTime WaitDeadline(const WaitingRequest& request);
 
 /// @param spread between 0 and 1, another for each refused caller, so that they do not all come
 /// back at once.
 /// @return when a refused caller should come back, after `now`.
-std::chrono::milliseconds ComeBackAfter(const HeldRequest& request, SteadyTime now, double spread);
+std::chrono::milliseconds RetryAfter(const WaitingRequest& request, SteadyTime now, double spread);
 
 /// @return a number between 0 and 1 that differs between ids.
-double SpreadOf(const std::string& request_id);
+double JitterOf(const std::string& request_id);
 
 }  // namespace moorfold
--- a/test/gateway/hold_policy_test.cc
+++ b/test/gateway/wait_policy_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/hold_policy.h"
+#include "gateway/wait_policy.h"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -10,8 +10,8 @@
 
 const SteadyTime kArrival{std::chrono::hours(1)};
 
-HeldRequest Waiting(NoServerReason reason, milliseconds time_left = milliseconds(5'000)) {
-  HeldRequest request;
+WaitingRequest Waiting(NoServerReason reason, milliseconds time_left = milliseconds(5'000)) {
+  WaitingRequest request;
   request.arrival = kArrival;
   request.end = kArrival + time_left;
   request.reason = reason;
@@ -21,57 +21,58 @@
 }
 
 TEST_CASE("A model on its way is waited for, and a little longer") {
-  HeldRequest request = Waiting(NoServerReason::kModelNotHeld);
-  request.expected = Expectation{kArrival, kArrival + milliseconds(2'000)};
-  CHECK(HoldUntil(request) == kArrival + milliseconds(3'000));
+  WaitingRequest request = Waiting(NoServerReason::kModelNotHeld);
+  request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(2'000)};
+  CHECK(WaitDeadline(request) == kArrival + milliseconds(3'000));
 }
 
 TEST_CASE("A request whose model comes too late is refused at once, with the time of its model") {
-  HeldRequest request = Waiting(NoServerReason::kModelNotHeld);
-  request.expected = Expectation{kArrival, kArrival + milliseconds(6'000)};
-  CHECK(HoldUntil(request) <= kArrival);
-  CHECK(ComeBackAfter(request, kArrival, 0) == milliseconds(6'000));
+  WaitingRequest request = Waiting(NoServerReason::kModelNotHeld);
+  request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(6'000)};
+  CHECK(WaitDeadline(request) <= kArrival);
+  CHECK(RetryAfter(request, kArrival, 0) == milliseconds(6'000));
   // Leaving the answer no time is too late, too.
-  request.expected = Expectation{kArrival, kArrival + milliseconds(4'950)};
-  CHECK(HoldUntil(request) <= kArrival);
+  request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(4'950)};
+  CHECK(WaitDeadline(request) <= kArrival);
 }
 
 TEST_CASE("Without a word of the leader a request waits for two of its daemon's reports") {
-  CHECK(HoldUntil(Waiting(NoServerReason::kModelNotHeld)) == kArrival + milliseconds(1'200));
+  CHECK(WaitDeadline(Waiting(NoServerReason::kModelNotHeld)) == kArrival + milliseconds(1'200));
   // What was expected and has not come counts as no word.
-  HeldRequest request = Waiting(NoServerReason::kModelNotHeld);
-  request.expected = Expectation{kArrival - milliseconds(9'000), kArrival - milliseconds(6'000)};
-  CHECK(HoldUntil(request) == kArrival + milliseconds(1'200));
+  WaitingRequest request = Waiting(NoServerReason::kModelNotHeld);
+  request.expected =
+      ExpectedModelLoad{kArrival - milliseconds(9'000), kArrival - milliseconds(6'000)};
+  CHECK(WaitDeadline(request) == kArrival + milliseconds(1'200));
 }
 
 TEST_CASE("Where no word comes a load from disk is waited for, too, and for no longer") {
-  HeldRequest request = Waiting(NoServerReason::kModelNotHeld);
+  WaitingRequest request = Waiting(NoServerReason::kModelNotHeld);
   request.load = milliseconds(840);
-  CHECK(HoldUntil(request) == kArrival + milliseconds(2'040));
-  CHECK(ComeBackAfter(request, kArrival, 0) == milliseconds(2'040));
+  CHECK(WaitDeadline(request) == kArrival + milliseconds(2'040));
+  CHECK(RetryAfter(request, kArrival, 0) == milliseconds(2'040));
 }
 
 TEST_CASE("A place at a busy server is waited for while the answer can still be in time") {
-  CHECK(HoldUntil(Waiting(NoServerReason::kAllUnusable)) == kArrival + milliseconds(800));
+  CHECK(WaitDeadline(Waiting(NoServerReason::kAllUnusable)) == kArrival + milliseconds(800));
 }
 
 TEST_CASE("Nobody is held past the time that an answer takes, nor past a client's patience") {
   for (const NoServerReason reason : {NoServerReason::kModelNotHeld, NoServerReason::kAllUnusable,
                                       NoServerReason::kUnknownService}) {
-    CHECK(HoldUntil(Waiting(reason, milliseconds(300))) == kArrival + milliseconds(200));
-    HeldRequest request = Waiting(reason);
+    CHECK(WaitDeadline(Waiting(reason, milliseconds(300))) == kArrival + milliseconds(200));
+    WaitingRequest request = Waiting(reason);
     request.patience = milliseconds(400);
-    CHECK(HoldUntil(request) == kArrival + milliseconds(340));
+    CHECK(WaitDeadline(request) == kArrival + milliseconds(340));
   }
 }
 
 TEST_CASE("Refused callers come back spread over half as long again") {
-  const HeldRequest request = Waiting(NoServerReason::kModelNotHeld);
-  CHECK(ComeBackAfter(request, kArrival, 0) == milliseconds(1'200));
-  CHECK(ComeBackAfter(request, kArrival, 1) == milliseconds(1'800));
+  const WaitingRequest request = Waiting(NoServerReason::kModelNotHeld);
+  CHECK(RetryAfter(request, kArrival, 0) == milliseconds(1'200));
+  CHECK(RetryAfter(request, kArrival, 1) == milliseconds(1'800));
   std::set<double> spreads;
   for (int id = 0; id < 100; ++id) {
-    const double spread = SpreadOf("request-" + std::to_string(id));
+    const double spread = JitterOf("request-" + std::to_string(id));
     CHECK(spread >= 0);
     CHECK(spread < 1);
     spreads.insert(spread);
@@ -80,7 +81,7 @@
 }
 
 TEST_CASE("What is expected is kept by base model, and forgotten long after its time") {
-  ExpectedModels expected;
+  ExpectedModelLoads expected;
   expected.Note({"m", ""}, {kArrival, kArrival + milliseconds(1'000)});
   REQUIRE(expected.Find({"m", "a1"}));
   CHECK(expected.Find({"m", "a1"})->ready_at == kArrival + milliseconds(1'000));
