--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -225,7 +225,7 @@
 void Gateway::TakeSize(std::uint32_t daemons) {
   fleet_size_ = daemons;
   const double sharing = std::max<double>(daemons, kSmallestFleet);
-  pipeline_.SetFreeRepeats(
+  pipeline_.SetMinRetries(
       std::max(kFreeRepeatsOfUnknownFleet, settings_.retry_minimum * kFreeRepeatsUsed / sharing));
 }
 
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -101,14 +101,14 @@
   view_.changed.NotifyAll();
 }
 
-RetryAllowance& RequestPipeline::AllowanceOf(const std::string& service) {
+WindowedRetryBudget& RequestPipeline::AllowanceOf(const std::string& service) {
   return allowances_
       .try_emplace(service, settings_.retry_window, settings_.retry_ratio * kRatioUsed,
                    free_repeats_)
       .first->second;
 }
 
-void RequestPipeline::SetFreeRepeats(double free_repeats) {
+void RequestPipeline::SetMinRetries(double free_repeats) {
   free_repeats_ = free_repeats;
   for (auto& [service, allowance] : allowances_) allowance.set_free_repeats(free_repeats);
 }
@@ -116,8 +116,8 @@
 /// Waits until one more repeat may be sent; one that has not run may be held as long as one that
 /// has no server. @return whether it may.
 Awaitable<bool> RequestPipeline::AwaitAllowance(GatewayRequest& request,
-                                                RetryAllowance& allowance) {
-  while (!allowance.TryRepeat(BootClock::now())) {
+                                                WindowedRetryBudget& allowance) {
+  while (!allowance.TryAcquireRetry(BootClock::now())) {
     const bool held = request.may_have_run == 0 && !refuse_waiting_ && !request.client_left &&
                       BootClock::now() < holds_.End(request, NoServerReason::kAllUnusable);
     if (!held) {
@@ -314,7 +314,7 @@
 Awaitable<void> RequestPipeline::Serve(HttpServerExchange& exchange, GatewayRequest& request) {
   ForwardResult result;
   std::string server_id;
-  RetryAllowance& allowance = AllowanceOf(request.service);
+  WindowedRetryBudget& allowance = AllowanceOf(request.service);
   std::uint32_t sends_allowed = 1;
   // Whoever is over its limit is told before it waits for a server or counts as demand.
   while (co_await AwaitCredit(request)) {
@@ -335,7 +335,7 @@
     if (request.refusal) break;
     // Its answer is no longer wanted, or is late already.
     if (request.client_left || BootClock::now() >= request.end) break;
-    if (request.sends == 0) allowance.CountFirst(BootClock::now());
+    if (request.sends == 0) allowance.RecordFirstAttempt(BootClock::now());
     ++request.sends;
     server_id = server->record().id;
     result = co_await Attempt(exchange, request, server);
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -11,11 +11,11 @@
 #include "gateway/gateway_metrics.h"
 #include "gateway/request_admission.h"
 #include "gateway/request_reporter.h"
-#include "gateway/retry_allowance.h"
 #include "gateway/server_choice.h"
 #include "gateway/server_statements.h"
 #include "gateway/suspect_guard.h"
 #include "gateway/wait_estimator.h"
+#include "gateway/windowed_retry_budget.h"
 #include "http/http_server.h"
 #include "ports/fleet_protocol.h"
 #include "quarantine/quarantine_service.h"
@@ -44,7 +44,7 @@
   Awaitable<void> Handle(HttpServerExchange& exchange);
   void Sweep() { forwarder_.Sweep(); }
   /// Repeats to each service in a window that need no first sends.
-  void SetFreeRepeats(double free_repeats);
+  void SetMinRetries(double free_repeats);
   /// Requests that have no server are refused from now on: this daemon is about to stop.
   void RefuseWaiting();
   /// Requests without the head of an answer are answered now, whatever their servers do.
@@ -88,8 +88,8 @@
   Awaitable<bool> AwaitPermit(const GatewayRequest& request, const ServerPtr& server);
   /// Gives back the credit of a request that ran nowhere.
   void ReturnCredit(const GatewayRequest& request);
-  RetryAllowance& AllowanceOf(const std::string& service);
-  Awaitable<bool> AwaitAllowance(GatewayRequest& request, RetryAllowance& allowance);
+  WindowedRetryBudget& AllowanceOf(const std::string& service);
+  Awaitable<bool> AwaitAllowance(GatewayRequest& request, WindowedRetryBudget& allowance);
   const FleetProtocol& protocol_;
   FleetView& view_;
   QuarantineService& quarantine_;
@@ -102,7 +102,7 @@
   PipelineSettings settings_;
   Forwarder forwarder_;
   RequestReporter reporter_;
-  std::map<std::string, RetryAllowance> allowances_;
+  std::map<std::string, WindowedRetryBudget> allowances_;
   std::set<GatewayRequest*> active_;
   bool refuse_waiting_ = false;
   double free_repeats_ = 2;
--- a/src/gateway/retry_allowance.h
+++ b/src/gateway/windowed_retry_budget.h
@@ -11,20 +11,20 @@
 /// This daemon's share of the fleet's retry budget: in any window, no more repeats than a share of
 /// its own first sends in that window, and a few. Each daemon keeps to its share, so the sum holds
 /// over the fleet without messages. One per service; one thread.
-class RetryAllowance {
+class WindowedRetryBudget {
  public:
   using Time = BootClock::time_point;
 
   /// @param window length of the sliding window.
   /// @param ratio repeats for each first send; below the fleet's, to leave room at its edges.
   /// @param free_repeats repeats that need no first sends.
-  RetryAllowance(std::chrono::milliseconds window, double ratio, double free_repeats)
+  WindowedRetryBudget(std::chrono::milliseconds window, double ratio, double free_repeats)
       : slice_(window / kSlices), ratio_(ratio), free_repeats_(free_repeats) {}
 
   void set_free_repeats(double free_repeats) { free_repeats_ = free_repeats; }
-  void CountFirst(Time now) { ++At(now).firsts; }
+  void RecordFirstAttempt(Time now) { ++At(now).firsts; }
   /// @return whether one more repeat may be sent now; counts it if so.
-  bool TryRepeat(Time now) {
+  bool TryAcquireRetry(Time now) {
     if (Left(now) < 1) return false;
     ++At(now).repeats;
     return true;
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -15,8 +15,8 @@
 #include "gateway/gateway_metrics.h"
 #include "gateway/gateway_settings.h"
 #include "gateway/prompt.h"
-#include "gateway/retry_allowance.h"
 #include "gateway/route_table.h"
+#include "gateway/windowed_retry_budget.h"
 #include "http/header_rules.h"
 
 namespace moorfold {
@@ -76,15 +76,15 @@
 
 TEST_CASE("Repeats stay within their share in every sliding window") {
   rc::check([] {
-    RetryAllowance allowance(seconds(10), 0.2, 2);
+    WindowedRetryBudget allowance(seconds(10), 0.2, 2);
     auto now = BootClock::time_point(seconds(1000));
     std::vector<std::pair<BootClock::time_point, bool>> sends;  // true: a repeat.
     for (int step = 0; step < 400; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 200));
       if (*rc::gen::inRange(0, 2) == 0) {
-        allowance.CountFirst(now);
+        allowance.RecordFirstAttempt(now);
         sends.emplace_back(now, false);
-      } else if (allowance.TryRepeat(now)) {
+      } else if (allowance.TryAcquireRetry(now)) {
         sends.emplace_back(now, true);
       }
     }
--- a/test/gateway/request_pipeline_test.cc
+++ b/test/gateway/request_pipeline_test.cc
@@ -112,7 +112,7 @@
 
 TEST_CASE("Any request goes elsewhere after a server says that it has not run it") {
   PipelineFixture fixture;
-  fixture.OnThread([&] { fixture.pipeline().SetFreeRepeats(20); });
+  fixture.OnThread([&] { fixture.pipeline().SetMinRetries(20); });
   std::atomic<int> refused{0};
   ScriptedServer full(
       Always("HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nX-Server-Load: 4,9,4\r\n"
@@ -132,7 +132,7 @@
   // Found on the bench: after a restart the share was used up, and a request whose model had just
   // been unloaded was refused with most of its time left.
   PipelineFixture fixture;
-  fixture.OnThread([&] { fixture.pipeline().SetFreeRepeats(0); });
+  fixture.OnThread([&] { fixture.pipeline().SetMinRetries(0); });
   std::atomic<int> requests{0};
   ScriptedServer server([&](ScriptedConnection& connection) {
     while (!connection.ReadHead().empty())
@@ -147,7 +147,7 @@
   while (requests == 0) std::this_thread::sleep_for(milliseconds(2));
   std::this_thread::sleep_for(milliseconds(100));
   CHECK(requests == 1);  // No share, no second send.
-  fixture.OnThread([&] { fixture.pipeline().SetFreeRepeats(5); });
+  fixture.OnThread([&] { fixture.pipeline().SetMinRetries(5); });
   CHECK(answer.get().ends_with("done"));
 }
 
--- a/test/tenants/keyed_request_test.cc
+++ b/test/tenants/keyed_request_test.cc
@@ -183,7 +183,7 @@
 
 TEST_CASE("Requests that servers with places refuse change nothing for others") {
   PipelineFixture gateway;
-  gateway.OnThread([&] { gateway.pipeline().SetFreeRepeats(50); });
+  gateway.OnThread([&] { gateway.pipeline().SetMinRetries(50); });
   std::atomic<int> refused{0};
   ScriptedServer first(RefuseBad(refused));
   ScriptedServer second(RefuseBad(refused));
@@ -206,7 +206,7 @@
 
 TEST_CASE("One server that refuses a request is not asked for it again soon; another serves it") {
   PipelineFixture gateway;
-  gateway.OnThread([&] { gateway.pipeline().SetFreeRepeats(50); });
+  gateway.OnThread([&] { gateway.pipeline().SetMinRetries(50); });
   std::atomic<int> refused{0};
   std::atomic<int> served{0};
   ScriptedServer first(RefuseBad(refused));
