--- a/src/gateway/suspect_guard.cc
+++ b/src/gateway/quarantine_filter.cc
@@ -1,4 +1,4 @@
-#include "gateway/suspect_guard.h"
+#include "gateway/quarantine_filter.h"
 
 #include <algorithm>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace moorfold {
 
-bool SuspectGuard::Quarantined(const GatewayRequest& request) const {
+bool QuarantineFilter::Quarantined(const GatewayRequest& request) const {
   if (!quarantine_.book().Known(request.fingerprint)) return false;
   const std::vector<ServerPtr>& servers = view_.servers.Of(request.service);
   return !servers.empty() &&
@@ -22,7 +22,7 @@
 
 /// A suspected request is tried at one server at a time, and not where another suspect is: if the
 /// server ends, its cause is known, and if not, the request is cleared.
-bool SuspectGuard::Limit(const GatewayRequest& request, ChoiceRequest& wanted) const {
+bool QuarantineFilter::Limit(const GatewayRequest& request, ChoiceRequest& wanted) const {
   if (quarantine_.OnTrial(request.fingerprint)) return false;
   bool suspected = false;
   for (const ServerPtr& server : view_.servers.Of(request.service)) {
@@ -47,8 +47,8 @@
   return true;
 }
 
-void SuspectGuard::NoteEvidence(const GatewayRequest& request, const Server& server,
-                                const ForwardResult& result, SteadyTime sent_at) {
+void QuarantineFilter::NoteEvidence(const GatewayRequest& request, const Server& server,
+                                    const ForwardResult& result, SteadyTime sent_at) {
   const ServerRecord& record = server.record();
   const bool sent = result.end != ForwardEnd::kNotRun && result.end != ForwardEnd::kClientLeft;
   if (result.link_ended && sent) {
--- a/src/gateway/suspect_guard.h
+++ b/src/gateway/quarantine_filter.h
@@ -9,9 +9,9 @@
 
 /// Keeps requests under which servers end away from servers, and tells the case book what attempts
 /// show. One thread.
-class SuspectGuard {
+class QuarantineFilter {
  public:
-  SuspectGuard(const FleetView& view, QuarantineService& quarantine)
+  QuarantineFilter(const FleetView& view, QuarantineService& quarantine)
       : view_(view), quarantine_(quarantine) {}
 
   /// @return whether servers of every version that runs would end under the request.
--- a/src/gateway/request_admission.h
+++ b/src/gateway/request_admission.h
@@ -34,7 +34,7 @@
 
   const FleetProtocol& protocol_;
   const FleetView& view_;
-  SplitDealer splits_;
+  WeightedRoundRobin splits_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -9,11 +9,11 @@
 #include "gateway/fleet_view.h"
 #include "gateway/forwarder.h"
 #include "gateway/gateway_metrics.h"
+#include "gateway/quarantine_filter.h"
 #include "gateway/request_admission.h"
 #include "gateway/request_reporter.h"
 #include "gateway/server_choice.h"
 #include "gateway/server_statements.h"
-#include "gateway/suspect_guard.h"
 #include "gateway/wait_estimator.h"
 #include "gateway/windowed_retry_budget.h"
 #include "http/http_server.h"
@@ -98,7 +98,7 @@
   GatewayMetrics& metrics_;
   RequestAdmission admission_;
   WaitEstimator holds_;
-  SuspectGuard suspects_;
+  QuarantineFilter suspects_;
   PipelineSettings settings_;
   Forwarder forwarder_;
   RequestReporter reporter_;
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -22,7 +22,7 @@
   return nullptr;
 }
 
-const std::string& SplitDealer::Next(const Route& route) {
+const std::string& WeightedRoundRobin::Next(const Route& route) {
   if (route.services.size() == 1) return route.services.front().service;
   std::vector<double>& credits = credits_[route.name];
   credits.resize(route.services.size(), 0);
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -34,7 +34,7 @@
 
 /// Deals the requests of split routes to their parts, so that any run of requests is close to the
 /// weights. One thread.
-class SplitDealer {
+class WeightedRoundRobin {
  public:
   /// @return the service that gets the next request of `route`.
   const std::string& Next(const Route& route);
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -64,7 +64,7 @@
       route.services.push_back({std::to_string(part), weight});
       total += weight;
     }
-    SplitDealer dealer;
+    WeightedRoundRobin dealer;
     std::map<std::string, double> counts;
     for (int request = 1; request <= 300; ++request) {
       ++counts[dealer.Next(route)];
