--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -140,7 +140,7 @@
   for (const HttpHeader& header : original.headers) {
     const bool replaced =
         EqualHeaderNames(header.name, names.deadline) || IsSystemOnly(header.name, names) ||
-        (request.keys_in_use && EqualHeaderNames(header.name, kAuthorizationHeader));
+        (request.strip_credentials && EqualHeaderNames(header.name, kAuthorizationHeader));
     const bool resumed =
         !request.last_event.empty() && EqualHeaderNames(header.name, names.last_event);
     if (!replaced && !resumed && !hop_by_hop.Contains(header.name)) head.headers.push_back(header);
@@ -178,10 +178,10 @@
 /// may be at fault itself. Were the model taken for missing there, the requests of one client could
 /// take models out of service for all. With it, and such headers taken off, callers got 0.067 more
 /// of what they are owed (error 0.009, 12 paired days of one deployment, tenants' limits held too).
-ForwardResult Forwarder::ReadRefusal(const HttpHeaders& headers, unsigned status,
+AttemptResult Forwarder::ReadRefusal(const HttpHeaders& headers, unsigned status,
                                      const GatewayRequest& request, Server& server) const {
   const auto now = BootClock::now();
-  ForwardResult result{ForwardEnd::kNotRun, status, "the server did not run it"};
+  AttemptResult result{AttemptOutcome::kNotRun, status, "the server did not run it"};
   if (status != kMisdirectedStatus) {
     const std::array<std::uint32_t, 3> load =
         ParseLoad(FindHeader(headers, protocol_.headers().server_load));
@@ -190,7 +190,7 @@
                       load[0] + load[1] >= server.record().slots;
     result.problem =
         full ? "the server is full" : "the server has places, but refuses this request";
-    result.refused_alone = !full;
+    result.refused_with_capacity = !full;
     if (full) server.NoteFull(now);
     return result;
   }
@@ -225,20 +225,20 @@
   pool_.Give(server.connection_key(), request.upstream, keep);
 }
 
-Awaitable<ForwardResult> Forwarder::PassWhole(HttpServerExchange& exchange, GatewayRequest& request,
+Awaitable<AttemptResult> Forwarder::PassWhole(HttpServerExchange& exchange, GatewayRequest& request,
                                               HttpHeaders headers) {
   HttpResponse response;
   response.status = request.upstream->status();
   response.body = co_await request.upstream->ReadAll();
   response.headers = EndToEndHeaders(headers);
   const unsigned status = response.status;
-  if (request.client_left) co_return ForwardResult{ForwardEnd::kClientLeft, status, ""};
+  if (request.client_left) co_return AttemptResult{AttemptOutcome::kClientLeft, status, ""};
   NoteHead(request);
   co_await exchange.Respond(std::move(response));
-  co_return ForwardResult{ForwardEnd::kAnswered, status, ""};
+  co_return AttemptResult{AttemptOutcome::kAnswered, status, ""};
 }
 
-Awaitable<ForwardResult> Forwarder::PassStream(HttpServerExchange& exchange,
+Awaitable<AttemptResult> Forwarder::PassStream(HttpServerExchange& exchange,
                                                GatewayRequest& request, HttpHeaders headers) {
   const unsigned status = request.upstream->status();
   EventSplitter splitter;
@@ -262,19 +262,20 @@
       if (!splitter.last_id().empty()) request.last_event = splitter.last_id();
     }
   } catch (const HttpError& error) {
-    if (request.client_left) co_return ForwardResult{ForwardEnd::kClientLeft, status, ""};
-    const ForwardEnd end = request.head_sent ? ForwardEnd::kBrokenOff : ForwardEnd::kMayHaveRun;
-    co_return ForwardResult{end, status, error.what(), error.peer_ended()};
+    if (request.client_left) co_return AttemptResult{AttemptOutcome::kClientLeft, status, ""};
+    const AttemptOutcome end =
+        request.head_sent ? AttemptOutcome::kBrokenOff : AttemptOutcome::kMayHaveRun;
+    co_return AttemptResult{end, status, error.what(), error.peer_ended()};
   }
   if (!request.head_sent) {
     NoteHead(request);
     co_await exchange.BeginStream(status, EndToEndHeaders(headers));
   }
   co_await exchange.EndStream();
-  co_return ForwardResult{ForwardEnd::kAnswered, status, ""};
+  co_return AttemptResult{AttemptOutcome::kAnswered, status, ""};
 }
 
-Awaitable<ForwardResult> Forwarder::Exchange(HttpServerExchange& exchange, GatewayRequest& request,
+Awaitable<AttemptResult> Forwarder::Exchange(HttpServerExchange& exchange, GatewayRequest& request,
                                              Server& server, SteadyTime sent_at,
                                              bool last_attempt) {
   co_await ReadOwnHead(*request.upstream, request);
@@ -294,40 +295,41 @@
   }
   const bool success = status >= http_status::kOk && status < http_status::kFirstRedirection;
   if (success && (!sealed || !FindHeader(headers, "Content-Encoding").empty()))
-    co_return ForwardResult{ForwardEnd::kMayHaveRun, status, "the answer is not a server's whole"};
+    co_return AttemptResult{AttemptOutcome::kMayHaveRun, status,
+                            "the answer is not a server's whole"};
   const bool failed = status >= http_status::kFirstServerError;
   if (failed) server.NoteErrorAnswer();
   // A refusal that does not say "not run" must not reach the client as one: it would be a promise.
   const bool unusable = refused || (failed && !last_attempt) || (!success && request.head_sent);
-  if (unusable) co_return ForwardResult{ForwardEnd::kMayHaveRun, status, "it failed"};
+  if (unusable) co_return AttemptResult{AttemptOutcome::kMayHaveRun, status, "it failed"};
   if (success) server.RememberPrompt(request.model, request.parts);
-  ForwardResult result;
+  AttemptResult result;
   if (success && request.route->type == RouteType::kStream)
     result = co_await PassStream(exchange, request, std::move(headers));
   else
     result = co_await PassWhole(exchange, request, std::move(headers));
-  if (result.end == ForwardEnd::kAnswered) GiveBack(request, server);
+  if (result.end == AttemptOutcome::kAnswered) GiveBack(request, server);
   co_return result;
 }
 
-Awaitable<ForwardResult> Forwarder::Forward(HttpServerExchange& exchange, GatewayRequest& request,
+Awaitable<AttemptResult> Forwarder::Forward(HttpServerExchange& exchange, GatewayRequest& request,
                                             ServerPtr server, SteadyTime attempt_end,
                                             bool last_attempt) {
-  ForwardResult result;
+  AttemptResult result;
   UpstreamConnectionPtr upstream;
   try {
     upstream = co_await Connect(request, *server);
   } catch (const HttpError& error) {
     server->NoteUnreachable(BootClock::now());
-    co_return ForwardResult{ForwardEnd::kNotRun, 0, error.what(), error.peer_ended()};
+    co_return AttemptResult{AttemptOutcome::kNotRun, 0, error.what(), error.peer_ended()};
   }
   if (request.client_left) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kLongestRest);
-    co_return ForwardResult{ForwardEnd::kClientLeft, 0, ""};
+    co_return AttemptResult{AttemptOutcome::kClientLeft, 0, ""};
   }
   if (server->TurnsAway(BootClock::now())) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kLongestRest);
-    co_return ForwardResult{ForwardEnd::kNotRun, 0, "the server leaves, or wants a pause"};
+    co_return AttemptResult{AttemptOutcome::kNotRun, 0, "the server leaves, or wants a pause"};
   }
   const AttemptGuard guard(request, *server, upstream, co_await boost::asio::this_coro::executor,
                            attempt_end);
@@ -336,16 +338,17 @@
     upstream->BeginSend(MakeHead(exchange.request(), request, *server, attempt_end), request.body);
     result = co_await Exchange(exchange, request, *server, sent_at, last_attempt);
   } catch (const HttpError& error) {
-    result = {ForwardEnd::kMayHaveRun, 0, error.what(), error.peer_ended()};
+    result = {AttemptOutcome::kMayHaveRun, 0, error.what(), error.peer_ended()};
     NoteUnanswered(*upstream);
   }
   if (upstream->cancelled() == CancelReason::kCallerLeft || request.client_left)
-    result.end = result.end == ForwardEnd::kAnswered ? result.end : ForwardEnd::kClientLeft;
+    result.end = result.end == AttemptOutcome::kAnswered ? result.end : AttemptOutcome::kClientLeft;
   const bool unanswered =
-      result.end == ForwardEnd::kMayHaveRun || result.end == ForwardEnd::kBrokenOff;
+      result.end == AttemptOutcome::kMayHaveRun || result.end == AttemptOutcome::kBrokenOff;
   if (unanswered && result.status < http_status::kBadRequest)
     server->NoteFailure(BootClock::now());
-  else if (result.end == ForwardEnd::kAnswered && result.status < http_status::kFirstServerError)
+  else if (result.end == AttemptOutcome::kAnswered &&
+           result.status < http_status::kFirstServerError)
     server->NoteSuccess();
   co_return result;
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -21,7 +21,7 @@
 
   /// @param attempt_end when to give the attempt up; no later than the request's end.
   /// @param last_attempt whether a failure answer of the server is to be passed on.
-  Awaitable<ForwardResult> Forward(HttpServerExchange& exchange, GatewayRequest& request,
+  Awaitable<AttemptResult> Forward(HttpServerExchange& exchange, GatewayRequest& request,
                                    ServerPtr server, SteadyTime attempt_end, bool last_attempt);
   void Sweep() { pool_.Sweep(); }
   std::uint64_t connections_opened() const { return connections_opened_; }
@@ -32,14 +32,14 @@
   Awaitable<UpstreamConnectionPtr> Connect(const GatewayRequest& request, const Server& server);
   HttpRequest MakeHead(const HttpRequest& original, const GatewayRequest& request,
                        const Server& server, SteadyTime attempt_end) const;
-  Awaitable<ForwardResult> Exchange(HttpServerExchange& exchange, GatewayRequest& request,
+  Awaitable<AttemptResult> Exchange(HttpServerExchange& exchange, GatewayRequest& request,
                                     Server& server, SteadyTime sent_at, bool last_attempt);
   Awaitable<void> ReadOwnHead(UpstreamConnection& upstream, const GatewayRequest& request);
-  Awaitable<ForwardResult> PassWhole(HttpServerExchange& exchange, GatewayRequest& request,
+  Awaitable<AttemptResult> PassWhole(HttpServerExchange& exchange, GatewayRequest& request,
                                      HttpHeaders headers);
-  Awaitable<ForwardResult> PassStream(HttpServerExchange& exchange, GatewayRequest& request,
+  Awaitable<AttemptResult> PassStream(HttpServerExchange& exchange, GatewayRequest& request,
                                       HttpHeaders headers);
-  ForwardResult ReadRefusal(const HttpHeaders& headers, unsigned status,
+  AttemptResult ReadRefusal(const HttpHeaders& headers, unsigned status,
                             const GatewayRequest& request, Server& server) const;
   void NoteLoad(const HttpHeaders& headers, Server& server) const;
   /// @return whether another server has answered, which has this one's address now.
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -34,7 +34,7 @@
   KeyDigest key;                        ///< Where it has a tenant.
   double units = 0;                     ///< That it counts against its tenant's limit.
   std::optional<quota::Credit> credit;  ///< Taken for it, and not used yet.
-  bool keys_in_use = false;             ///< Callers show keys: they are not for servers to see.
+  bool strip_credentials = false;       ///< Callers show keys: they are not for servers to see.
   std::uint32_t priority = 0;           ///< 0 is the most urgent.
   std::string service;
   ModelReference model;  ///< Empty where the service holds no models.
@@ -48,7 +48,7 @@
   bool client_left = false;
   bool counted = false;                 ///< In the demand for its model.
   bool head_sent = false;               ///< The client has the head of an answer.
-  bool listed_open = false;             ///< The log has told that it is under way.
+  bool logged_open = false;             ///< The log has told that it is under way.
   double expected_ms = 0;               ///< For which its server was chosen: time to a first byte.
   SteadyTime head_at{};                 ///< When the client got the head of its answer.
   std::chrono::milliseconds waited{0};  ///< Without a server that could be asked.
@@ -56,7 +56,7 @@
   std::string last_event;                    ///< Last whole event that the client has.
   std::uint32_t sends = 0;                   ///< Servers that it was sent to.
   NoServerReason no_server = NoServerReason::kNone;  ///< Why it found none, last.
-  SteadyTime free_at{};      ///< When the first server takes more, where all are at their limits.
+  SteadyTime capacity_at{};  ///< When the first server takes more, where all are at their limits.
   bool alternative = false;  ///< Another server than the chosen one could take it.
   std::uint32_t may_have_run = 0;  ///< Servers on which it may have run.
   UpstreamConnectionPtr upstream;  ///< Of the attempt under way.
@@ -85,7 +85,7 @@
 };
 
 /// How one attempt at a server ended.
-enum class ForwardEnd : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kAnswered,    ///< The client has a whole answer.
   kNotRun,      ///< The server said so, or no connection came up.
   kMayHaveRun,  ///< No usable answer came; nothing of one went to the client.
@@ -94,14 +94,14 @@
 };
 
 /// Why an attempt did not answer. For logs.
-struct ForwardResult {
-  ForwardEnd end = ForwardEnd::kNotRun;
+struct AttemptResult {
+  AttemptOutcome end = AttemptOutcome::kNotRun;
   unsigned status = 0;  ///< Of the server's answer; 0: none.
   std::string problem;
   /// By the server's side, before the answer was whole; or nobody listens there.
-  bool link_ended = false;
+  bool connection_lost = false;
   /// The server had places, and refused it all the same.
-  bool refused_alone = false;
+  bool refused_with_capacity = false;
 };
 
 }  // namespace moorfold
--- a/src/gateway/quarantine_filter.cc
+++ b/src/gateway/quarantine_filter.cc
@@ -48,16 +48,17 @@
 }
 
 void QuarantineFilter::NoteEvidence(const GatewayRequest& request, const Server& server,
-                                    const ForwardResult& result, SteadyTime sent_at) {
+                                    const AttemptResult& result, SteadyTime sent_at) {
   const ServerRecord& record = server.record();
-  const bool sent = result.end != ForwardEnd::kNotRun && result.end != ForwardEnd::kClientLeft;
-  if (result.link_ended && sent) {
+  const bool sent =
+      result.end != AttemptOutcome::kNotRun && result.end != AttemptOutcome::kClientLeft;
+  if (result.connection_lost && sent) {
     quarantine_.Note(quarantine::LinkEnded{request.fingerprint, request.service, record.id,
                                            record.software_version});
     return;
   }
   const bool other_there = result.status == kMisdirectedStatus && server.gone();
-  if (result.link_ended || other_there) {
+  if (result.connection_lost || other_there) {
     if (quarantine_.book().Waiting(record.id)) quarantine_.Note(quarantine::ServerEnded{record.id});
     return;
   }
@@ -65,7 +66,7 @@
   if (quarantine_.book().Waiting(record.id))
     quarantine_.Note(quarantine::ServerAnswered{record.id, sent_at});
   // A failure that a server answers may come before it has begun the request: no proof.
-  if (result.end == ForwardEnd::kAnswered && result.status < http_status::kBadRequest)
+  if (result.end == AttemptOutcome::kAnswered && result.status < http_status::kBadRequest)
     quarantine_.Note(quarantine::Served{request.fingerprint, record.software_version});
 }
 
--- a/src/gateway/quarantine_filter.h
+++ b/src/gateway/quarantine_filter.h
@@ -21,7 +21,7 @@
   bool Limit(const GatewayRequest& request, ChoiceRequest& wanted) const;
   /// Tells the case book what an attempt has shown of its server and its request.
   void NoteEvidence(const GatewayRequest& request, const Server& server,
-                    const ForwardResult& result, SteadyTime sent_at);
+                    const AttemptResult& result, SteadyTime sent_at);
 
  private:
   const FleetView& view_;
--- a/src/gateway/request_admission.cc
+++ b/src/gateway/request_admission.cc
@@ -49,7 +49,7 @@
                                                   GatewayRequest& request) const {
   request.priority = request.route->priority;
   const TenantDirectory& tenants = request.table->tenants();
-  request.keys_in_use = !tenants.empty();
+  request.strip_credentials = !tenants.empty();
   if (tenants.empty() || request.route->open) return std::nullopt;
   const ShownKey shown = ReadShownKey(http.headers);
   if (shown.state == KeyState::kUnreadable)
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -153,7 +153,7 @@
   Choice choice = ChooseServer(view_.servers, wanted, now);
   reason = choice.reason;
   request.expected_ms = choice.cost_ms;
-  request.free_at = choice.free_at;
+  request.capacity_at = choice.capacity_at;
   request.alternative = choice.alternative;
   return choice.server;
 }
@@ -212,18 +212,18 @@
 }
 
 RequestPipeline::Next RequestPipeline::Decide(const GatewayRequest& request,
-                                              const ForwardResult& result) {
+                                              const AttemptResult& result) {
   const bool time_left = BootClock::now() < request.end;
   switch (result.end) {
-    case ForwardEnd::kAnswered:
-    case ForwardEnd::kClientLeft:
+    case AttemptOutcome::kAnswered:
+    case AttemptOutcome::kClientLeft:
       return Next::kDone;
-    case ForwardEnd::kNotRun:
+    case AttemptOutcome::kNotRun:
       if (request.head_sent) return Next::kBreakOff;
       if (request.refusal) return Next::kGiveUp;
       return time_left && request.sends < kMostSends ? Next::kTryAgain : Next::kGiveUp;
-    case ForwardEnd::kMayHaveRun:
-    case ForwardEnd::kBrokenOff:
+    case AttemptOutcome::kMayHaveRun:
+    case AttemptOutcome::kBrokenOff:
       if (time_left && request.Repeatable() && request.may_have_run < request.route->attempts)
         return Next::kTryAgain;
       return request.head_sent ? Next::kBreakOff : Next::kGiveUp;
@@ -232,7 +232,7 @@
 }
 
 Refusal RequestPipeline::ExplainFailure(const GatewayRequest& request,
-                                        const ForwardResult& result) const {
+                                        const AttemptResult& result) const {
   if (request.may_have_run > 0) {
     const bool late = BootClock::now() >= request.end;
     return {late ? http_status::kGatewayTimeout : http_status::kBadGateway,
@@ -294,7 +294,7 @@
   co_return granted && !server->TurnsAway(BootClock::now());
 }
 
-Awaitable<ForwardResult> RequestPipeline::Attempt(HttpServerExchange& exchange,
+Awaitable<AttemptResult> RequestPipeline::Attempt(HttpServerExchange& exchange,
                                                   GatewayRequest& request,
                                                   const ServerPtr& server) {
   const DemandMark flight(view_.demand, request.service, request.model,
@@ -304,7 +304,7 @@
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
   const bool last = !MayRunElsewhere(request);
   const SteadyTime sent_at = BootClock::now();
-  ForwardResult result =
+  AttemptResult result =
       co_await forwarder_.Forward(exchange, request, server, AttemptEnd(request), last);
   holds_.NoteAnswerTime(request, sent_at);
   suspects_.NoteEvidence(request, *server, result, sent_at);
@@ -312,7 +312,7 @@
 }
 
 Awaitable<void> RequestPipeline::Serve(HttpServerExchange& exchange, GatewayRequest& request) {
-  ForwardResult result;
+  AttemptResult result;
   std::string server_id;
   WindowedRetryBudget& allowance = AllowanceOf(request.service);
   std::uint32_t sends_allowed = 1;
@@ -324,7 +324,7 @@
     sends_allowed = request.sends + 1;
     co_await AwaitRead(request);
     const ServerPtr server = co_await AwaitServer(request);
-    if (request.client_left) result.end = ForwardEnd::kClientLeft;
+    if (request.client_left) result.end = AttemptOutcome::kClientLeft;
     if (!server || request.client_left) break;
     // The machine may have been suspended while it waited.
     if (BootClock::now() >= request.end) break;
@@ -340,16 +340,16 @@
     server_id = server->record().id;
     result = co_await Attempt(exchange, request, server);
     // What may have run has used its credit; a repeat needs its own.
-    if (result.end != ForwardEnd::kNotRun) request.credit.reset();
-    if (result.end == ForwardEnd::kMayHaveRun || result.end == ForwardEnd::kBrokenOff)
+    if (result.end != AttemptOutcome::kNotRun) request.credit.reset();
+    if (result.end == AttemptOutcome::kMayHaveRun || result.end == AttemptOutcome::kBrokenOff)
       ++request.may_have_run;
-    if (result.refused_alone) NoteRefusedAlone(request, server_id);
+    if (result.refused_with_capacity) NoteRefusedAlone(request, server_id);
     const Next next = Decide(request, result);
-    if (result.end != ForwardEnd::kAnswered && result.end != ForwardEnd::kClientLeft)
+    if (result.end != AttemptOutcome::kAnswered && result.end != AttemptOutcome::kClientLeft)
       reporter_.NoteFailedAttempt(request, *server, result);
     if (next != Next::kTryAgain) break;
     request.failed_servers.push_back(server_id);
-    if (result.link_ended) co_await quarantine_.AwaitEvidence(server_id, request.fingerprint);
+    if (result.connection_lost) co_await quarantine_.AwaitEvidence(server_id, request.fingerprint);
   }
   const bool late = request.head_sent && request.LateAtServer();
   // Copies elsewhere are wanted as much as where answers come late.
@@ -362,12 +362,12 @@
 
 /// Counts, logs and, where the client has no answer yet, answers.
 Awaitable<void> RequestPipeline::Finish(HttpServerExchange& exchange, const GatewayRequest& request,
-                                        const ForwardResult& result, const std::string& server_id) {
-  const bool settled = result.end == ForwardEnd::kAnswered ||
-                       result.end == ForwardEnd::kClientLeft || request.head_sent;
+                                        const AttemptResult& result, const std::string& server_id) {
+  const bool settled = result.end == AttemptOutcome::kAnswered ||
+                       result.end == AttemptOutcome::kClientLeft || request.head_sent;
   if (settled) {
     reporter_.NoteEnd(request, DescribeEnd(request, result, server_id));
-    if (result.end != ForwardEnd::kAnswered) exchange.Abort();
+    if (result.end != AttemptOutcome::kAnswered) exchange.Abort();
     co_return;
   }
   const Refusal refusal = ExplainFailure(request, result);
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -61,21 +61,21 @@
   enum class Next : std::uint8_t { kDone, kTryAgain, kGiveUp, kBreakOff };
   class ActiveMark;
 
-  Awaitable<ForwardResult> Attempt(HttpServerExchange& exchange, GatewayRequest& request,
+  Awaitable<AttemptResult> Attempt(HttpServerExchange& exchange, GatewayRequest& request,
                                    const ServerPtr& server);
   Awaitable<void> Refuse(HttpServerExchange& exchange, const GatewayRequest& request,
                          const Refusal& refusal);
   Awaitable<void> Serve(HttpServerExchange& exchange, GatewayRequest& request);
   Awaitable<void> Finish(HttpServerExchange& exchange, const GatewayRequest& request,
-                         const ForwardResult& result, const std::string& server_id);
+                         const AttemptResult& result, const std::string& server_id);
   /// While what is known is older than its bound and the store answers, waits for its next answer.
   Awaitable<void> AwaitRead(const GatewayRequest& request);
   Awaitable<ServerPtr> AwaitServer(GatewayRequest& request);
   ServerPtr ChooseOnce(GatewayRequest& request, NoServerReason& reason) const;
   SteadyTime AttemptEnd(const GatewayRequest& request) const;
   bool MayRunElsewhere(const GatewayRequest& request) const;
-  Next Decide(const GatewayRequest& request, const ForwardResult& result);
-  Refusal ExplainFailure(const GatewayRequest& request, const ForwardResult& result) const;
+  Next Decide(const GatewayRequest& request, const AttemptResult& result);
+  Refusal ExplainFailure(const GatewayRequest& request, const AttemptResult& result) const;
   Awaitable<void> Answer(HttpServerExchange& exchange, const GatewayRequest& request,
                          const Refusal& refusal);
   /// Keeps in mind that a server with places refused the request, and gives it up once another did
--- a/src/gateway/request_reporter.cc
+++ b/src/gateway/request_reporter.cc
@@ -102,15 +102,15 @@
 }
 
 void RequestReporter::NoteFailedAttempt(const GatewayRequest& request, const Server& server,
-                                        const ForwardResult& result) {
+                                        const AttemptResult& result) {
   log_.Write(LogRank::kDecision,
              EventLine(LogEvent::kAttemptFailed)
                  .Field(LogField::kId, request.id)
                  .Field(LogField::kServer, server.record().id)
                  .Field(LogField::kStatus, result.status)
-                 .Field(LogField::kRan, result.end == ForwardEnd::kNotRun ? "no" : "maybe")
+                 .Field(LogField::kRan, result.end == AttemptOutcome::kNotRun ? "no" : "maybe")
                  .Field(LogField::kProblem, result.problem)
-                 .Field(LogField::kLink, result.link_ended ? "ended_by_server" : "open")
+                 .Field(LogField::kLink, result.connection_lost ? "ended_by_server" : "open")
                  .Field(LogField::kFingerprint, ToString(request.fingerprint))
                  .Field(LogField::kInFlight, server.in_flight())
                  .Field(LogField::kExpectedMs, static_cast<std::int64_t>(request.expected_ms)));
@@ -120,24 +120,24 @@
   std::string ids;
   std::size_t listed = 0;
   for (GatewayRequest* request : active) {
-    if (request->listed_open || now - request->arrival < kOpenLong) continue;
+    if (request->logged_open || now - request->arrival < kOpenLong) continue;
     if (listed++ == kMostListed) break;
-    request->listed_open = true;
+    request->logged_open = true;
     ids += (ids.empty() ? "" : ",") + request->id;
   }
   if (ids.empty()) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kRequestsOpen).Field(LogField::kIds, ids));
 }
 
-RequestEnd DescribeEnd(const GatewayRequest& request, const ForwardResult& result,
+RequestEnd DescribeEnd(const GatewayRequest& request, const AttemptResult& result,
                        std::string server_id) {
   RequestEnd end;
   end.status = result.status;
   end.problem = result.problem;
-  if (result.end == ForwardEnd::kAnswered) {
+  if (result.end == AttemptOutcome::kAnswered) {
     end.outcome = RequestOutcome::kAnswered;
     if (result.status >= http_status::kBadRequest) end.reason = EndReason::kServerError;
-  } else if (result.end == ForwardEnd::kClientLeft) {
+  } else if (result.end == AttemptOutcome::kClientLeft) {
     end.outcome = RequestOutcome::kClientLeft;
     end.reason = request.head_sent   ? EndReason::kLeftInAnswer
                  : request.sends > 0 ? EndReason::kLeftAtServer
--- a/src/gateway/request_reporter.h
+++ b/src/gateway/request_reporter.h
@@ -28,7 +28,7 @@
 
   void NoteEnd(const GatewayRequest& request, const RequestEnd& end);
   void NoteFailedAttempt(const GatewayRequest& request, const Server& server,
-                         const ForwardResult& result);
+                         const AttemptResult& result);
   /// Lists, once each, the requests that have been under way for a while: should this process end
   /// without a word, its log still names them.
   void ListOpen(const std::set<GatewayRequest*>& active, SteadyTime now);
@@ -42,7 +42,7 @@
 };
 
 /// @param server_id of the last attempt.
-RequestEnd DescribeEnd(const GatewayRequest& request, const ForwardResult& result,
+RequestEnd DescribeEnd(const GatewayRequest& request, const AttemptResult& result,
                        std::string server_id);
 
 }  // namespace moorfold
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -83,8 +83,8 @@
 
 /// A server that is usable but for what it takes: it is waited for, where there is no other.
 void NoteAtLimit(const Server& server, Choice& best) {
-  const bool first = best.free_at == SteadyTime{};
-  best.free_at = first ? server.FreeAt() : std::min(best.free_at, server.FreeAt());
+  const bool first = best.capacity_at == SteadyTime{};
+  best.capacity_at = first ? server.FreeAt() : std::min(best.capacity_at, server.FreeAt());
   if (best.reason != NoServerReason::kAllUnusable) best.reason = NoServerReason::kAtLimit;
 }
 
--- a/src/gateway/server_choice.h
+++ b/src/gateway/server_choice.h
@@ -34,7 +34,7 @@
   NoServerReason reason = NoServerReason::kNone;
   double cost_ms = 0;
   bool alternative = false;  ///< Another server could take it that names no limit.
-  SteadyTime free_at{};      ///< Where all are at their limits: when the first takes more.
+  SteadyTime capacity_at{};  ///< Where all are at their limits: when the first takes more.
 };
 
 /// Picks the server with the least expected time to a first byte: its queue, the part of the prompt
--- a/src/gateway/wait_estimator.cc
+++ b/src/gateway/wait_estimator.cc
@@ -40,7 +40,7 @@
   held.answer = usual == answer_ms_.end() ? request.route->target
                                           : milliseconds(static_cast<std::int64_t>(usual->second));
   if (request.route->type == RouteType::kStream) held.patience = StreamPatience(*request.route);
-  held.free_at = request.free_at;
+  held.capacity_at = request.capacity_at;
   if (request.model.model.empty()) return held;
   held.expected = view_.expected.Find(request.model);
   held.load = StatedLoad(request);
--- a/src/gateway/wait_policy.cc
+++ b/src/gateway/wait_policy.cc
@@ -57,7 +57,7 @@
   if (request.reason == NoServerReason::kQuarantined) return request.arrival;
   const SteadyTime last_useful = LastUseful(request);
   const SteadyTime place_wanted_by = std::min(last_useful, request.arrival + request.target);
-  if (request.reason == NoServerReason::kAtLimit && request.free_at > place_wanted_by)
+  if (request.reason == NoServerReason::kAtLimit && request.capacity_at > place_wanted_by)
     return request.arrival;
   if (request.reason != NoServerReason::kModelNotHeld) return place_wanted_by;
   const SteadyTime unheard = request.arrival + kLeaderAnswers + request.load;
@@ -69,8 +69,8 @@
 
 milliseconds RetryAfter(const WaitingRequest& request, SteadyTime now, double spread) {
   milliseconds after = std::max(kLeastComeBack, request.answer);
-  if (request.reason == NoServerReason::kAtLimit && request.free_at > now)
-    after = std::max(after, std::chrono::ceil<milliseconds>(request.free_at - now));
+  if (request.reason == NoServerReason::kAtLimit && request.capacity_at > now)
+    after = std::max(after, std::chrono::ceil<milliseconds>(request.capacity_at - now));
   if (request.reason == NoServerReason::kModelNotHeld) {
     after = kLeaderAnswers + request.load;
     if (request.expected && request.expected->ready_at > now)
--- a/src/gateway/wait_policy.h
+++ b/src/gateway/wait_policy.h
@@ -37,7 +37,8 @@
   std::chrono::milliseconds answer{0};  ///< Until an answer of its kind usually begins.
   std::optional<std::chrono::milliseconds> patience;  ///< Of its client with a silent stream.
   std::optional<ExpectedModelLoad> expected;          ///< Of its model.
-  SteadyTime free_at{};  ///< Where all its servers are at their limits: when the first takes more.
+  SteadyTime
+      capacity_at{};  ///< Where all its servers are at their limits: when the first takes more.
 };
 
 /// How long a request that no server can take is held, and when its caller should come back.
