--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -270,7 +270,7 @@
   metrics_.repeated_reads = store_.repeated_reads();
   metrics_.peak_memory_kb = PeakMemoryKilobytes();
   if (view_.routes) metrics_.configuration_age_ms = MillisecondsSince(view_.configured_at);
-  pipeline_.DescribeLoad();
+  pipeline_.UpdateLoadMetrics();
   metrics_.servers_known_age_ms = MillisecondsSince(view_.servers_current_at);
   metrics_.configuration_known_age_ms = MillisecondsSince(view_.configuration_current_at);
   co_await exchange.Respond(Plain(http_status::kOk, metrics_.Render()));
@@ -418,7 +418,7 @@
     KeepQuarantine();
     ShareQuotas();
     pipeline_.Sweep();
-    pipeline_.ListOpen();
+    pipeline_.LogOpenRequests();
     log_.Flush();
   }
 }
@@ -451,7 +451,7 @@
   front_->StopAccepting();
   front_->CloseIdle();
   pipeline_.RefuseWaiting();
-  if (elapsed >= settings_.drain_timeout - kLastAnswers) pipeline_.AnswerAll();
+  if (elapsed >= settings_.drain_timeout - kLastAnswers) pipeline_.TimeOutUnanswered();
   return front_->open_connections() == 0;
 }
 
@@ -477,7 +477,7 @@
     if (Drained(elapsed) && (resigned_ || last_moment)) break;
     co_await Sleep(kStopCheck);
   }
-  pipeline_.NoteCut();
+  pipeline_.ReportInterrupted();
   log_.Write(LogRank::kFailure, EventLine(LogEvent::kStopped)
                                     .Field(LogField::kConnections, front_->open_connections())
                                     .Field(LogField::kActiveRequests, front_->active_requests())
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -70,7 +70,7 @@
   view_.changed.NotifyAll();
 }
 
-void RequestPipeline::NoteCut() {
+void RequestPipeline::ReportInterrupted() {
   for (const GatewayRequest* request : active_) {
     RequestEnd end;
     end.outcome = request->head_sent ? RequestOutcome::kBrokenOff : RequestOutcome::kFailed;
@@ -79,9 +79,9 @@
   }
 }
 
-void RequestPipeline::ListOpen() { reporter_.ListOpen(active_, BootClock::now()); }
+void RequestPipeline::LogOpenRequests() { reporter_.LogOpenRequests(active_, BootClock::now()); }
 
-void RequestPipeline::DescribeLoad() {
+void RequestPipeline::UpdateLoadMetrics() {
   const auto now = BootClock::now();
   metrics_.requests_open = static_cast<std::int64_t>(active_.size());
   metrics_.requests_waiting = view_.demand.Waiting();
@@ -91,7 +91,7 @@
     metrics_.repeats_left.push_back({service, allowance.Left(now)});
 }
 
-void RequestPipeline::AnswerAll() {
+void RequestPipeline::TimeOutUnanswered() {
   const auto now = BootClock::now();
   for (GatewayRequest* request : active_) {
     request->end = std::min(request->end, now);
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -48,13 +48,13 @@
   /// Requests that have no server are refused from now on: this daemon is about to stop.
   void RefuseWaiting();
   /// Requests without the head of an answer are answered now, whatever their servers do.
-  void AnswerAll();
+  void TimeOutUnanswered();
   /// This process is about to end: what is still under way is cut, and the log says so.
-  void NoteCut();
+  void ReportInterrupted();
   /// Lets the log name the requests that have been under way for a while.
-  void ListOpen();
+  void LogOpenRequests();
   /// Brings the figures of requests under way and of repeats left up to date.
-  void DescribeLoad();
+  void UpdateLoadMetrics();
 
  private:
   /// What follows an attempt.
--- a/src/gateway/request_reporter.cc
+++ b/src/gateway/request_reporter.cc
@@ -116,7 +116,7 @@
                  .Field(LogField::kExpectedMs, static_cast<std::int64_t>(request.expected_ms)));
 }
 
-void RequestReporter::ListOpen(const std::set<GatewayRequest*>& active, SteadyTime now) {
+void RequestReporter::LogOpenRequests(const std::set<GatewayRequest*>& active, SteadyTime now) {
   std::string ids;
   std::size_t listed = 0;
   for (GatewayRequest* request : active) {
--- a/src/gateway/request_reporter.h
+++ b/src/gateway/request_reporter.h
@@ -31,7 +31,7 @@
                          const AttemptResult& result);
   /// Lists, once each, the requests that have been under way for a while: should this process end
   /// without a word, its log still names them.
-  void ListOpen(const std::set<GatewayRequest*>& active, SteadyTime now);
+  void LogOpenRequests(const std::set<GatewayRequest*>& active, SteadyTime now);
 
  private:
   void Count(const GatewayRequest& request, const RequestEnd& end);
--- a/test/gateway/pipeline_fixture.h
+++ b/test/gateway/pipeline_fixture.h
@@ -127,7 +127,7 @@
     return answer;
   }
   /// Sends `request` and closes the connection as soon as `leave` holds.
-  void Abandon(const std::string& request, const std::function<bool()>& leave) {
+  void SendAndDisconnect(const std::string& request, const std::function<bool()>& leave) {
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket socket(context);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"), front_.endpoint().port});
--- a/test/gateway/request_pipeline_test.cc
+++ b/test/gateway/request_pipeline_test.cc
@@ -414,7 +414,7 @@
   while (!both) fixture.OnThread([&] { both = reached && fixture.view().demand.Waiting() > 0; });
   fixture.OnThread([&] { fixture.pipeline().RefuseWaiting(); });
   CHECK(PipelineFixture::Status(waiting.get()) == 503);
-  fixture.OnThread([&] { fixture.pipeline().AnswerAll(); });
+  fixture.OnThread([&] { fixture.pipeline().TimeOutUnanswered(); });
   CHECK(PipelineFixture::Status(running.get()) == 504);
 }
 
--- a/test/gateway/request_reporter_test.cc
+++ b/test/gateway/request_reporter_test.cc
@@ -103,13 +103,13 @@
   });
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   fixture.AddServer("i-1", silent.endpoint());
-  fixture.Abandon(PipelineFixture::Request(), [&] { return reached > 0; });
+  fixture.SendAndDisconnect(PipelineFixture::Request(), [&] { return reached > 0; });
   CHECK(Soon([&] {
     return Ended(fixture, "at_most_once", RequestOutcome::kClientLeft, EndReason::kLeftAtServer) ==
            1;
   }));
   fixture.OnThread([&] { fixture.view().servers.Remove("i-1"); });
-  fixture.Abandon(PipelineFixture::Request(), [&] {
+  fixture.SendAndDisconnect(PipelineFixture::Request(), [&] {
     bool waiting = false;
     fixture.OnThread([&] { waiting = fixture.view().demand.Waiting() > 0; });
     return waiting;
@@ -130,9 +130,9 @@
   });
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   fixture.AddServer("i-1", silent.endpoint());
-  fixture.Abandon(PipelineFixture::Request(), [&] {
+  fixture.SendAndDisconnect(PipelineFixture::Request(), [&] {
     if (reached == 0) return false;
-    fixture.OnThread([&] { fixture.pipeline().NoteCut(); });
+    fixture.OnThread([&] { fixture.pipeline().ReportInterrupted(); });
     return true;
   });
   CHECK(Ended(fixture, "at_most_once", RequestOutcome::kFailed, EndReason::kDaemonStopped) == 1);
@@ -154,8 +154,8 @@
   young.id = "young";
   young.arrival = now;
   const std::set<GatewayRequest*> active = {&old_one, &young};
-  reporter.ListOpen(active, now);
-  reporter.ListOpen(active, now);
+  reporter.LogOpenRequests(active, now);
+  reporter.LogOpenRequests(active, now);
   log.Flush();
   close(ends[1]);
   std::string out(4096, '\0');
