--- a/src/gateway/request_admission.cc
+++ b/src/gateway/request_admission.cc
@@ -92,11 +92,11 @@
   request.id = std::string(FindHeader(http.headers, names.request_id));
   if (std::optional<Refusal> refusal = FindRoute(http, request)) return refusal;
   if (std::optional<Refusal> refusal = IdentifyTenant(http, request)) return refusal;
-  const milliseconds kNoLimit = std::chrono::hours(1);
+  const milliseconds no_limit = std::chrono::hours(1);
   const milliseconds stated =
-      ParseMilliseconds(FindHeader(http.headers, names.deadline)).value_or(kNoLimit);
+      ParseMilliseconds(FindHeader(http.headers, names.deadline)).value_or(no_limit);
   const milliseconds timeout =
-      request.route->timeout.count() > 0 ? request.route->timeout : kNoLimit;
+      request.route->timeout.count() > 0 ? request.route->timeout : no_limit;
   request.expires_at = request.arrival + std::min(stated, timeout);
   request.service = service_selector_.Next(*request.route);
   request.model = ParseModelReference(FindHeader(http.headers, names.model));
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -266,9 +266,9 @@
   if (request.tenant == nullptr || !request.tenant->limit.Limited()) co_return true;
   if (request.credit && quota_.Alive(request.tenant->name, *request.credit)) co_return true;
   request.credit.reset();
-  const auto longest_wait = std::chrono::duration_cast<BootClock::duration>(request.route->target *
-                                                                            kCreditWaitTargetShare);
-  const SteadyTime wait_until = std::min(request.expires_at, request.arrival + longest_wait);
+  const auto credit_wait = std::chrono::duration_cast<BootClock::duration>(request.route->target *
+                                                                           kCreditWaitTargetShare);
+  const SteadyTime wait_until = std::min(request.expires_at, request.arrival + credit_wait);
   // Requests of one tenant are ordered by route priority; the tenant's own is the same for all.
   const quota::CreditWish wish{request.tenant->name, request.units, request.route->priority,
                                std::max(BootClock::duration{}, wait_until - BootClock::now())};
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -12,11 +12,11 @@
 constexpr double kRecentFailureMs = 2'000;
 constexpr double kErrorShareMs = 400;
 constexpr double kRunningModelRequestMs = 6;  ///< Each request in a batch slows down the others.
-constexpr double kWaitingModelRequestMs =
-    60;                                     ///< Each queued request is prefilled before this one.
-constexpr double kModelFreeRequestMs = 20;  ///< Of a request at a full server that holds no models.
-constexpr double kFleetTieBreakMs =
-    25;  ///< Daemons that have not seen a prompt still choose the same server.
+/// Each queued request is prefilled before this one.
+constexpr double kWaitingModelRequestMs = 60;
+constexpr double kModellessRequestMs = 20;  ///< Of a request at a full server that holds no models.
+/// Lets daemons that have not seen a prompt still choose the same server for it.
+constexpr double kFleetTieBreakMs = 25;
 /// Without prompts to cache, each daemon prefers different servers: if all chose the first of equal
 /// cost, a large fleet would send everything to a few servers. Less than the cost of one request.
 constexpr double kDaemonTieBreakMs = 1;
@@ -65,7 +65,7 @@
 double QueueMs(const Server& server, const ChoiceRequest& request, SteadyTime now) {
   const double requests = server.ExpectedRequests(now);
   if (request.model.model.empty())
-    return kModelFreeRequestMs * requests / std::max(1U, server.record().slots) +
+    return kModellessRequestMs * requests / std::max(1U, server.record().slots) +
            kDaemonTieBreakMs * DaemonTieBreak(request, server.record().id);
   return kRunningModelRequestMs * requests + kWaitingModelRequestMs * server.ExpectedWaiting(now);
 }
--- a/src/gateway/wait_policy.cc
+++ b/src/gateway/wait_policy.cc
@@ -44,11 +44,11 @@
 
 }  // namespace
 
-void ExpectedModelLoads::Note(const ModelReference& model, ExpectedModelLoad expectation) {
+void ExpectedModelLoads::Note(const ModelReference& model, ExpectedModelLoad expected_load) {
   std::erase_if(by_model_, [&](const auto& entry) {
-    return ExpectedLoadExpiry(entry.second) < expectation.announced_at;
+    return ExpectedLoadExpiry(entry.second) < expected_load.announced_at;
   });
-  if (by_model_.size() < kMaxExpectedLoads) by_model_[model.model] = expectation;
+  if (by_model_.size() < kMaxExpectedLoads) by_model_[model.model] = expected_load;
 }
 
 std::optional<ExpectedModelLoad> ExpectedModelLoads::Find(const ModelReference& model) const {
--- a/src/gateway/wait_policy.h
+++ b/src/gateway/wait_policy.h
@@ -19,7 +19,7 @@
 /// Model loads that the leader has announced. Bounded in size; not thread-safe.
 class ExpectedModelLoads {
  public:
-  void Note(const ModelReference& model, ExpectedModelLoad expectation);
+  void Note(const ModelReference& model, ExpectedModelLoad expected_load);
   /// @return the expected load of the model, or of the base model of an adapter.
   std::optional<ExpectedModelLoad> Find(const ModelReference& model) const;
 
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -1,4 +1,4 @@
-// The small parts of the gateway: routes, allowances, prompts, events, settings, log, figures.
+// Small components of the gateway: routes, retry budgets, prompts, events, settings, log, metrics.
 
 #include <fcntl.h>
 #include <rapidcheck.h>
@@ -37,7 +37,7 @@
   return RouteTable(configuration);
 }
 
-TEST_CASE("The longest prefix of the path picks the route of its host") {
+TEST_CASE("The longest matching path prefix selects the route of a host") {
   const RouteTable table = MakeTable({{"h", "/a/"}, {"h", "/a/b/"}, {"g", "/"}});
   struct Case {
     const char* host;
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("Any run of a split route's requests is close to its weights") {
+TEST_CASE("Any sequence of requests of a weighted route is close to its weights") {
   rc::check([] {
     Route route;
     route.name = "r";
@@ -64,44 +64,45 @@
       route.services.push_back({std::to_string(part), weight});
       total += weight;
     }
-    WeightedRoundRobin dealer;
+    WeightedRoundRobin selector;
     std::map<std::string, double> counts;
     for (int request = 1; request <= 300; ++request) {
-      ++counts[dealer.Next(route)];
+      ++counts[selector.Next(route)];
       for (const WeightedService& part : route.services)
         RC_ASSERT(std::abs(counts[part.service] - request * part.weight / total) <= parts);
     }
   });
 }
 
-TEST_CASE("Repeats stay within their share in every sliding window") {
+TEST_CASE("Retries stay within the budget in every sliding window") {
   rc::check([] {
-    WindowedRetryBudget allowance(seconds(10), 0.2, 2);
+    WindowedRetryBudget budget(seconds(10), 0.2, 2);
     auto now = BootClock::time_point(seconds(1000));
-    std::vector<std::pair<BootClock::time_point, bool>> sends;  // true: a repeat.
+    std::vector<std::pair<BootClock::time_point, bool>> sends;  // true: a retry.
     for (int step = 0; step < 400; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 200));
       if (*rc::gen::inRange(0, 2) == 0) {
-        allowance.RecordFirstAttempt(now);
+        budget.RecordFirstAttempt(now);
         sends.emplace_back(now, false);
-      } else if (allowance.TryAcquireRetry(now)) {
+      } else if (budget.TryAcquireRetry(now)) {
         sends.emplace_back(now, true);
       }
     }
     for (const auto& [end, ignored] : sends) {
-      double firsts = 0;
-      double repeats = 0;
+      double first_attempts = 0;
+      double retries = 0;
       for (const auto& [at, repeat] : sends)
-        if (at <= end && at > end - seconds(9)) (repeat ? repeats : firsts) += 1;
-      double earlier = 0;  // Firsts that may still count at the edge of the window.
+        if (at <= end && at > end - seconds(9)) (repeat ? retries : first_attempts) += 1;
+      double earlier_first_attempts =
+          0;  // First attempts that may still count at the window's edge.
       for (const auto& [at, repeat] : sends)
-        if (!repeat && at <= end - seconds(9) && at > end - seconds(20)) ++earlier;
-      RC_ASSERT(repeats <= 0.2 * (firsts + earlier) + 2);
+        if (!repeat && at <= end - seconds(9) && at > end - seconds(20)) ++earlier_first_attempts;
+      RC_ASSERT(retries <= 0.2 * (first_attempts + earlier_first_attempts) + 2);
     }
   });
 }
 
-TEST_CASE("Prompt parts and model names are read, and what is no part is left out") {
+TEST_CASE("Prompt parts and model names are parsed, and malformed parts are skipped") {
   const std::vector<PromptPart> parts = ParsePromptParts("a:800, b:410,bad,:7,c:x,d:2");
   REQUIRE(parts.size() == 4);
   CHECK(parts[0].id == "a");
@@ -113,7 +114,7 @@
   CHECK(ToString(ParseModelReference("m/a1")) == "m/a1");
 }
 
-TEST_CASE("Events come out whole however the bytes are cut") {
+TEST_CASE("Events come out complete, however the bytes are split") {
   rc::check([] {
     const std::string stream =
         "id: 1\ndata: x\n\nid: 2\ndata: y\n\nevent: z\r\ndata: 3\r\n\r\nrest";
@@ -133,7 +134,7 @@
   });
 }
 
-TEST_CASE("Headers of one connection stay on it") {
+TEST_CASE("Hop-by-hop headers are not forwarded") {
   const HttpHeaders headers = {{"Connection", "close, X-Own"}, {"X-Own", "1"},
                                {"Keep-Alive", "timeout=5"},    {"Transfer-Encoding", "chunked"},
                                {"Content-Length", "3"},        {"X-Kept", "2"}};
@@ -146,7 +147,7 @@
     "name: n\nzone: z\nlisten: 127.0.0.1:1\nreadiness: 127.0.0.1:2\npeer: 127.0.0.1:3\n"
     "store: 127.0.0.1:4\n";
 
-TEST_CASE("Settings are read whole, and each mistake names its line and remedy") {
+TEST_CASE("Settings are parsed completely, and each error names its location and remedy") {
   const GatewaySettings settings = ParseGatewaySettings(
       kGoodSettings + "metrics: 9100/m\nretry_ratio: 0.1\norder_handover: 3s\n", "f");
   CHECK(settings.metrics->port == 9100);
@@ -174,7 +175,7 @@
   }
 }
 
-TEST_CASE("The log never blocks: a full output loses lines, which are counted") {
+TEST_CASE("The log never blocks: when its output is full, lines are dropped and counted") {
   std::array<int, 2> ends{};
   REQUIRE(pipe(ends.data()) == 0);
   {
@@ -182,7 +183,7 @@
                            .lines_per_second = 1'000'000,
                            .failures_per_second = 1'000'000});
     const std::string text(200, 'x');
-    for (int line = 0; line < 5'000; ++line)  // A megabyte; nobody reads the pipe.
+    for (int line = 0; line < 5'000; ++line)  // One megabyte; the pipe is not read.
       log.Write(LogRank::kFailure, EventLine(LogEvent::kServer).Field(LogField::kProblem, text));
     CHECK(log.lost() > 0);
   }
@@ -190,7 +191,7 @@
   close(ends[1]);
 }
 
-TEST_CASE("Routine lines are left out first") {
+TEST_CASE("Routine lines are dropped first when the log exceeds its rate") {
   std::array<int, 2> ends{};
   REQUIRE(pipe(ends.data()) == 0);
   EventLog log(ends[1], {.routine_per_second = 2, .lines_per_second = 5, .failures_per_second = 9});
@@ -213,7 +214,7 @@
   close(ends[1]);
 }
 
-TEST_CASE("Figures come in the text format of their collector") {
+TEST_CASE("Metrics are rendered in the Prometheus text format") {
   GatewayMetrics metrics;
   metrics.requests = 7;
   metrics.time_to_head.Observe(15);
@@ -229,7 +230,7 @@
   CHECK(text.find("moorfold_repeats_left{service=\"s\"} 2.5\n") != std::string::npos);
 }
 
-TEST_CASE("Counts by labels are escaped and bounded") {
+TEST_CASE("Label values are escaped, and the number of series is bounded") {
   LabelledCounter counter;
   counter.Add({{"route", "a\"b\\c\nd"}});
   counter.Add({{"route", "a\"b\\c\nd"}});
@@ -282,7 +283,7 @@
   CHECK(count("watch", "no_answer") == 1);
 }
 
-TEST_CASE("A log of no lines writes none, and counts them") {
+TEST_CASE("A log with a limit of 0 lines writes none and counts the dropped ones") {
   std::array<int, 2> ends{};
   REQUIRE(pipe(ends.data()) == 0);
   EventLog log(ends[1], EventLog::Options::For(0));
--- a/test/gateway/pipeline_fixture.h
+++ b/test/gateway/pipeline_fixture.h
@@ -19,7 +19,7 @@
 
 namespace moorfold {
 
-/// A pipeline behind a front server on loopback, with servers and routes given by the test.
+/// A request pipeline behind an HTTP server on loopback; the test sets up servers and routes.
 class PipelineFixture {
  public:
   PipelineFixture()
@@ -78,7 +78,7 @@
   void SetRoutes(std::vector<Route> routes, bool engine = false) {
     SetRoutesAndTenants(std::move(routes), {}, engine);
   }
-  /// Routes that need keys, as one configuration with its tenants.
+  /// Sets routes that require API keys, together with their tenants, as one configuration.
   void SetRoutesAndTenants(std::vector<Route> routes, std::vector<Tenant> tenants,
                            bool engine = false) {
     auto configuration = std::make_shared<RoutingConfiguration>();
@@ -107,8 +107,8 @@
     OnThread([&] { view_.servers.Put(record, BootClock::now()); });
   }
 
-  /// Sends `request` as it is and reads until the connection closes or `stop` has come.
-  /// @param from the caller's own address.
+  /// Sends `request` unchanged and reads until the connection closes or `stop` has been received.
+  /// @param from local address of the client.
   std::string Exchange(const std::string& request, const std::string& stop = "",
                        const std::string& from = "127.0.0.1") {
     boost::asio::io_context context;
@@ -126,7 +126,7 @@
     closed_by_reset_ = error == boost::asio::error::connection_reset;
     return answer;
   }
-  /// Sends `request` and closes the connection as soon as `leave` holds.
+  /// Sends `request` and closes the connection as soon as `leave` returns true.
   void SendAndDisconnect(const std::string& request, const std::function<bool()>& leave) {
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket socket(context);
@@ -134,7 +134,7 @@
     boost::asio::write(socket, boost::asio::buffer(request));
     while (!leave()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
-  /// A request without a body that asks for the connection to be closed.
+  /// @return a request without a body, with `Connection: close`.
   static std::string Request(const std::string& path = "/p/x", const std::string& headers = "",
                              const std::string& deadline = "3000") {
     return "GET " + path +
@@ -152,7 +152,7 @@
   QuotaService& quota() { return quota_; }
 
  private:
-  /// Of a daemon that leads and has no others.
+  /// @return permit ports of a fleet whose only daemon is the leader.
   static PermitService::Ports SingleDaemonPermitPorts() {
     PermitService::Ports ports;
     ports.ask = [](const std::string&, const PermitQuestion&) {};
@@ -162,7 +162,7 @@
     ports.daemons = [] { return 1U; };
     return ports;
   }
-  /// Of a daemon without others.
+  /// @return quarantine ports of a fleet with a single daemon.
   QuarantineService::Ports SingleDaemonPorts() {
     QuarantineService::Ports ports;
     ports.send = [](const std::string&, const QuarantineNotice&) {};
--- a/test/gateway/request_pipeline_test.cc
+++ b/test/gateway/request_pipeline_test.cc
@@ -1,4 +1,4 @@
-// The path of a request, against servers that answer as no sound server would.
+// Request processing against servers that misbehave.
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
          "\r\n\r\n" + body;
 }
 
-/// Answers each request on a connection with the same bytes.
+/// Sends the same bytes in response to each request on a connection.
 ScriptedServer::Script Always(std::string answer, std::atomic<int>* requests = nullptr) {
   return [answer, requests](ScriptedConnection& connection) {
     while (!connection.ReadHead().empty()) {
@@ -36,7 +36,7 @@
   };
 }
 
-TEST_CASE("An answer passes with its status, headers and body unchanged") {
+TEST_CASE("A response is relayed with its status, headers and body unchanged") {
   PipelineFixture fixture;
   std::string seen;
   ScriptedServer server([&](ScriptedConnection& connection) {
@@ -59,7 +59,7 @@
   CHECK(seen.find("Keep-Alive") == std::string::npos);
 }
 
-TEST_CASE("The server gets the time that is left, never more") {
+TEST_CASE("The deadline header sent to the server never exceeds the remaining time") {
   PipelineFixture fixture;
   std::string seen;
   ScriptedServer server([&](ScriptedConnection& connection) {
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("A request that must not run twice is sent once when no answer comes") {
+TEST_CASE("A request that must not run twice is not retried when no response arrives") {
   PipelineFixture fixture;
   std::atomic<int> requests{0};
   ScriptedServer first(ResetEach(&requests));
@@ -91,12 +91,12 @@
   fixture.AddServer("i-1", first.endpoint());
   fixture.AddServer("i-2", second.endpoint());
   const std::string answer = fixture.Exchange(PipelineFixture::Request());
-  CHECK(PipelineFixture::Status(answer) == 502);  // No promise: it may have run.
+  CHECK(PipelineFixture::Status(answer) == 502);  // Not a refusal: the request may have run.
   CHECK(answer.find("\"executed\":\"unknown\"") != std::string::npos);
   CHECK(requests == 1);
 }
 
-TEST_CASE("A request that may be repeated goes to another server, as often as its route allows") {
+TEST_CASE("A repeatable request is retried at other servers, up to the route's limit on attempts") {
   PipelineFixture fixture;
   std::atomic<int> broken{0};
   ScriptedServer first(ResetEach(&broken));
@@ -110,7 +110,7 @@
   CHECK(broken == 2);
 }
 
-TEST_CASE("Any request goes elsewhere after a server says that it has not run it") {
+TEST_CASE("Any request is retried elsewhere after a server reports that it did not run it") {
   PipelineFixture fixture;
   fixture.OnThread([&] { fixture.pipeline().SetMinRetries(20); });
   std::atomic<int> refused{0};
@@ -127,10 +127,9 @@
   CHECK(fixture.Exchange(PipelineFixture::Request()).ends_with("done"));
 }
 
-TEST_CASE(
-    "A request that was not run waits for its share of the repeats instead of being refused") {
-  // Found on the bench: after a restart the share was used up, and a request whose model had just
-  // been unloaded was refused with most of its time left.
+TEST_CASE("A request that was not run waits for the retry budget instead of being refused") {
+  // Guards against a failure seen on the test bench: after a restart the retry budget was used
+  // up, and a request whose model had just been unloaded was refused with most of its time left.
   PipelineFixture fixture;
   fixture.OnThread([&] { fixture.pipeline().SetMinRetries(0); });
   std::atomic<int> requests{0};
@@ -146,12 +145,12 @@
       std::async(std::launch::async, [&] { return fixture.Exchange(PipelineFixture::Request()); });
   while (requests == 0) std::this_thread::sleep_for(milliseconds(2));
   std::this_thread::sleep_for(milliseconds(100));
-  CHECK(requests == 1);  // No share, no second send.
+  CHECK(requests == 1);  // No retry budget, so no second send.
   fixture.OnThread([&] { fixture.pipeline().SetMinRetries(5); });
   CHECK(answer.get().ends_with("done"));
 }
 
-TEST_CASE("A refusal of a server that does not say 'not run' never reaches the client as one") {
+TEST_CASE("A server's refusal without the 'not run' header is not relayed as a refusal") {
   PipelineFixture fixture;
   ScriptedServer server(Always("HTTP/1.1 503 Odd\r\n" + kSealed + "Content-Length: 0\r\n\r\n"));
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
@@ -159,7 +158,7 @@
   CHECK(PipelineFixture::Status(fixture.Exchange(PipelineFixture::Request())) == 502);
 }
 
-TEST_CASE("A refusal names a time to come back and says that nothing ran") {
+TEST_CASE("A refusal has a Retry-After and states that the request did not run") {
   PipelineFixture fixture;
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   const std::string answer = fixture.Exchange(PipelineFixture::Request("/p/x", "", "300"));
@@ -168,9 +167,10 @@
   CHECK(answer.find("\"executed\":\"no\"") != std::string::npos);
 }
 
-TEST_CASE("A stream that finds no server is refused before its client gives a silent stream up") {
-  // Found on the bench: clients leave a stream without an event after some seconds, long before
-  // their deadline, and were held without a word until then.
+TEST_CASE(
+    "A stream request without a server is refused before its client stops waiting for events") {
+  // Guards against a failure seen on the test bench: clients abandon a stream without events
+  // after some seconds, long before their deadline, and got no response until then.
   PipelineFixture fixture;
   Route route = PipelineFixture::MakeRoute(RouteType::kStream);
   route.timeout = std::chrono::minutes(10);
@@ -183,7 +183,7 @@
   CHECK(BootClock::now() - began < std::chrono::minutes(1));
 }
 
-TEST_CASE("An unknown route is 404 only while the store was heard from lately") {
+TEST_CASE("An unknown route gets 404 only while the configuration is known to be current") {
   PipelineFixture fixture;
   CHECK(PipelineFixture::Status(fixture.Exchange(PipelineFixture::Request("/q/"))) == 503);
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
@@ -192,18 +192,17 @@
   CHECK(PipelineFixture::Status(fixture.Exchange(PipelineFixture::Request("/q/"))) == 503);
 }
 
-TEST_CASE(
-    "Answers that are not the server's whole answer to this request do not reach the client") {
+TEST_CASE("Responses that are incomplete, unsealed or for another request are not relayed") {
   struct Case {
     const char* name;
     std::string bytes;
   };
   const std::vector<Case> cases = {
       {"no seal", Ok("x", "X-Request-Id: one\r\n")},
-      {"an encoding nobody asked for", Ok("x", kSealed + "Content-Encoding: gzip\r\n")},
-      {"cut short", "HTTP/1.1 200 OK\r\n" + kSealed + "Content-Length: 10\r\n\r\nabc"},
-      {"no answer in the protocol", "\x01\x02garbage garbage\r\n\r\n"},
-      {"only answers to another request",
+      {"an encoding that was not requested", Ok("x", kSealed + "Content-Encoding: gzip\r\n")},
+      {"truncated", "HTTP/1.1 200 OK\r\n" + kSealed + "Content-Length: 10\r\n\r\nabc"},
+      {"not an HTTP response", "\x01\x02garbage garbage\r\n\r\n"},
+      {"only responses to another request",
        Ok("foreign", "X-Response-Seal: s\r\nX-Request-Id: two\r\n")}};
   for (const Case& each : cases) {
     CAPTURE(each.name);
@@ -220,7 +219,7 @@
   }
 }
 
-TEST_CASE("A surplus answer in the place of the next one is passed over") {
+TEST_CASE("A surplus response to an earlier request is skipped") {
   PipelineFixture fixture;
   ScriptedServer server([&](ScriptedConnection& connection) {
     connection.ReadHead();
@@ -231,7 +230,7 @@
   CHECK(fixture.Exchange(PipelineFixture::Request()).ends_with("mine"));
 }
 
-TEST_CASE("A connection with bytes left over is not used again") {
+TEST_CASE("A connection with unread bytes is not reused") {
   PipelineFixture fixture;
   ScriptedServer server([&](ScriptedConnection& connection) {
     while (!connection.ReadHead().empty()) connection.Write(Ok("a") + "HTTP/1.1 200 OK\r\n");
@@ -243,7 +242,9 @@
   CHECK(server.connections() == 3);
 }
 
-TEST_CASE("An answer that comes before the body was read passes, and its connection is not kept") {
+TEST_CASE(
+    "A response sent before the request body was read is relayed, and its connection is not "
+    "reused") {
   PipelineFixture fixture;
   ScriptedServer server([&](ScriptedConnection& connection) {
     if (connection.ReadHead().empty()) return;
@@ -252,7 +253,7 @@
   });
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kRepeatable)});
   fixture.AddServer("i-1", server.endpoint());
-  const std::string body(6 * 1024 * 1024, 'b');  // More than the socket buffers take.
+  const std::string body(6 * 1024 * 1024, 'b');  // More than the socket buffers hold.
   const std::string request =
       "POST /p/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: one\r\nConnection: close\r\n"
       "X-Deadline-Ms: 3000\r\nContent-Length: " +
@@ -262,7 +263,7 @@
   CHECK(server.connections() == 2);
 }
 
-TEST_CASE("Another incarnation at the address ends the use of the server") {
+TEST_CASE("A server is no longer used after another incarnation answers at its address") {
   PipelineFixture fixture;
   std::atomic<int> requests{0};
   ScriptedServer server(Always(
@@ -275,7 +276,7 @@
   CHECK(requests == 1);
 }
 
-TEST_CASE("A stream passes event by event, and a broken one does not look whole") {
+TEST_CASE("A stream is relayed event by event, and a broken one does not look complete") {
   PipelineFixture fixture;
   const std::string head = "HTTP/1.1 200 OK\r\n" + kSealed + "Transfer-Encoding: chunked\r\n\r\n";
   const auto chunk = [](const std::string& text) {
@@ -285,7 +286,7 @@
   };
   Route route = PipelineFixture::MakeRoute(RouteType::kStream);
   route.attempts = 1;
-  SECTION("whole") {
+  SECTION("complete") {
     ScriptedServer server([&](ScriptedConnection& connection) {
       connection.ReadHead();
       connection.Write(head + chunk("id: 1\ndata: a\n\nid: 2\nda"));
@@ -312,7 +313,7 @@
   }
 }
 
-TEST_CASE("A resumable stream goes on at another server from the last whole event") {
+TEST_CASE("A resumable stream continues at another server after the last complete event") {
   PipelineFixture fixture;
   std::atomic<int> servers_asked{0};
   std::string resumed_head;
@@ -343,7 +344,7 @@
   CHECK(resumed_head.find("Last-Event-Id: 1") != std::string::npos);
 }
 
-TEST_CASE("A client that leaves ends the work of its server") {
+TEST_CASE("A client disconnect closes the connection to the server") {
   PipelineFixture fixture;
   std::promise<bool> closed;
   ScriptedServer server([&](ScriptedConnection& connection) {
@@ -363,7 +364,7 @@
   CHECK(closed.get_future().get());
 }
 
-TEST_CASE("The time of a route ends a request whose server keeps silent") {
+TEST_CASE("The route's timeout ends a request whose server does not respond") {
   PipelineFixture fixture;
   ScriptedServer server([&](ScriptedConnection& connection) {
     connection.ReadHead();
@@ -376,7 +377,7 @@
   CHECK(PipelineFixture::Status(fixture.Exchange(PipelineFixture::Request())) == 504);
 }
 
-TEST_CASE("A request for a model that stands nowhere waits until a notice says where it is") {
+TEST_CASE("A request for a model that no server holds waits until a notice names a server") {
   PipelineFixture fixture;
   ScriptedServer server(Always(Ok("loaded")));
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kRepeatable)}, true);
@@ -394,7 +395,8 @@
   CHECK(answer.get().ends_with("loaded"));
 }
 
-TEST_CASE("Before a stop, what waits is refused and what runs without an answer gets one") {
+TEST_CASE(
+    "Before shutdown, waiting requests are refused and unanswered ones get a timeout response") {
   PipelineFixture fixture;
   std::atomic<bool> reached{false};
   ScriptedServer silent([&](ScriptedConnection& connection) {
@@ -418,9 +420,12 @@
   CHECK(PipelineFixture::Status(running.get()) == 504);
 }
 
-TEST_CASE("No request is taken on a kept connection after the last answers have begun") {
-  // Found by a hunt: between the end of a stream and the next closing of idle connections, one more
-  // request was read, and the process ended in the middle of its answer.
+TEST_CASE(
+    "No request is read from a keep-alive connection after idle connections are closed for "
+    "shutdown") {
+  // Guards against a failure found by randomized testing: between the end of a stream and the
+  // next closing of idle connections, one more request was read, and the process exited in the
+  // middle of its response.
   PipelineFixture fixture;
   std::atomic<int> requests{0};
   std::promise<void> answer_now;
@@ -443,7 +448,7 @@
   CHECK(requests == 1);
 }
 
-TEST_CASE("A request whose time has passed while the machine was suspended is sent to no server") {
+TEST_CASE("A request that expired while the machine was suspended is not sent to a server") {
   ClockJump jump;
   PipelineFixture fixture;
   std::atomic<int> requests{0};
@@ -451,7 +456,7 @@
   Route route = PipelineFixture::MakeRoute(RouteType::kAtMostOnce);
   route.target = milliseconds(2'000);
   fixture.SetRoutes({route});
-  fixture.AddServer("i-0", {"127.0.0.1", 1});  // Nobody listens there: the request waits.
+  fixture.AddServer("i-0", {"127.0.0.1", 1});  // Nothing listens there, so the request waits.
   std::string answer;
   std::thread client([&] { answer = fixture.Exchange(PipelineFixture::Request()); });
   std::this_thread::sleep_for(milliseconds(300));
--- a/test/gateway/request_reporter_test.cc
+++ b/test/gateway/request_reporter_test.cc
@@ -1,4 +1,4 @@
-// What is counted and logged of requests: by route, kind, outcome and reason.
+// Request metrics by route, kind, outcome and reason, and the log of open requests.
 
 #include <catch2/catch.hpp>
 
@@ -12,8 +12,8 @@
 
 const std::string kSealed = "X-Response-Seal: s1\r\nX-Request-Id: one\r\n";
 
-std::uint64_t Ended(PipelineFixture& fixture, const char* kind, RequestOutcome outcome,
-                    EndReason reason, const char* route = "r") {
+std::uint64_t CountEnded(PipelineFixture& fixture, const char* kind, RequestOutcome outcome,
+                         EndReason reason, const char* route = "r") {
   std::uint64_t count = 0;
   fixture.OnThread([&] {
     count = fixture.metrics().requests_ended.Count(
@@ -28,8 +28,8 @@
   };
 }
 
-/// Counts come after the client has its answer.
-bool Soon(const std::function<bool()>& condition) {
+/// Polls `condition`: counters are updated after the client has received its response.
+bool EventuallyTrue(const std::function<bool()>& condition) {
   for (int attempt = 0; attempt < 1'000; ++attempt) {
     if (condition()) return true;
     std::this_thread::sleep_for(milliseconds(5));
@@ -62,16 +62,17 @@
     CAPTURE(Name(each.reason));
     fixture.AddServer(each.id, each.server->endpoint());
     fixture.Exchange(PipelineFixture::Request());
-    CHECK(Soon([&] { return Ended(fixture, "at_most_once", each.outcome, each.reason) == 1; }));
+    CHECK(EventuallyTrue(
+        [&] { return CountEnded(fixture, "at_most_once", each.outcome, each.reason) == 1; }));
     fixture.OnThread([&] { fixture.view().servers.Remove(each.id); });
   }
   fixture.Exchange(PipelineFixture::Request("/p/x", "", "40"));
-  CHECK(Ended(fixture, "at_most_once", RequestOutcome::kRefused, EndReason::kNoServer) == 1);
+  CHECK(CountEnded(fixture, "at_most_once", RequestOutcome::kRefused, EndReason::kNoServer) == 1);
   fixture.Exchange(PipelineFixture::Request("/other/"));
-  CHECK(Ended(fixture, "none", RequestOutcome::kRefused, EndReason::kNoRoute, "none") == 1);
+  CHECK(CountEnded(fixture, "none", RequestOutcome::kRefused, EndReason::kNoRoute, "none") == 1);
 }
 
-TEST_CASE("The time to an answer's head and the gaps between events are observed apart") {
+TEST_CASE("The time to the response head and the gaps between events are separate metrics") {
   PipelineFixture fixture;
   ScriptedServer server([](ScriptedConnection& connection) {
     connection.ReadHead();
@@ -84,7 +85,7 @@
   fixture.AddServer("i-1", server.endpoint());
   fixture.Exchange(PipelineFixture::Request());
   std::string text;
-  REQUIRE(Soon([&] {
+  REQUIRE(EventuallyTrue([&] {
     fixture.OnThread([&] { text = fixture.metrics().Render(); });
     return text.find("moorfold_time_to_end_ms_count 1\n") != std::string::npos;
   }));
@@ -93,7 +94,7 @@
   CHECK(text.find("moorfold_event_gap_ms_bucket{le=\"20\"} 0\n") != std::string::npos);
 }
 
-TEST_CASE("A client that leaves is counted by how far its request had come") {
+TEST_CASE("A client disconnect is counted by the progress of its request") {
   PipelineFixture fixture;
   std::atomic<int> reached{0};
   ScriptedServer silent([&](ScriptedConnection& connection) {
@@ -104,9 +105,9 @@
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   fixture.AddServer("i-1", silent.endpoint());
   fixture.SendAndDisconnect(PipelineFixture::Request(), [&] { return reached > 0; });
-  CHECK(Soon([&] {
-    return Ended(fixture, "at_most_once", RequestOutcome::kClientLeft, EndReason::kLeftAtServer) ==
-           1;
+  CHECK(EventuallyTrue([&] {
+    return CountEnded(fixture, "at_most_once", RequestOutcome::kClientLeft,
+                      EndReason::kLeftAtServer) == 1;
   }));
   fixture.OnThread([&] { fixture.view().servers.Remove("i-1"); });
   fixture.SendAndDisconnect(PipelineFixture::Request(), [&] {
@@ -114,13 +115,13 @@
     fixture.OnThread([&] { waiting = fixture.view().demand.Waiting() > 0; });
     return waiting;
   });
-  CHECK(Soon([&] {
-    return Ended(fixture, "at_most_once", RequestOutcome::kClientLeft, EndReason::kLeftWaiting) ==
-           1;
+  CHECK(EventuallyTrue([&] {
+    return CountEnded(fixture, "at_most_once", RequestOutcome::kClientLeft,
+                      EndReason::kLeftWaiting) == 1;
   }));
 }
 
-TEST_CASE("What a planned stop cuts is counted and named") {
+TEST_CASE("Requests interrupted by a planned stop are counted with their own reason") {
   PipelineFixture fixture;
   std::atomic<int> reached{0};
   ScriptedServer silent([&](ScriptedConnection& connection) {
@@ -135,10 +136,11 @@
     fixture.OnThread([&] { fixture.pipeline().ReportInterrupted(); });
     return true;
   });
-  CHECK(Ended(fixture, "at_most_once", RequestOutcome::kFailed, EndReason::kDaemonStopped) == 1);
+  CHECK(CountEnded(fixture, "at_most_once", RequestOutcome::kFailed, EndReason::kDaemonStopped) ==
+        1);
 }
 
-TEST_CASE("Requests under way for a while are listed once, so that a kill leaves their names") {
+TEST_CASE("Requests open for a while are logged once, so that the log names them after a kill") {
   std::array<int, 2> ends{};
   REQUIRE(pipe(ends.data()) == 0);
   boost::asio::io_context context;
@@ -147,13 +149,13 @@
   EventLog log(ends[1], {});
   RequestReporter reporter(view, metrics, log);
   const auto now = BootClock::now();
-  GatewayRequest old_one;
-  old_one.id = "old-one";
-  old_one.arrival = now - milliseconds(600);
-  GatewayRequest young;
-  young.id = "young";
-  young.arrival = now;
-  const std::set<GatewayRequest*> active = {&old_one, &young};
+  GatewayRequest long_open;
+  long_open.id = "old-one";
+  long_open.arrival = now - milliseconds(600);
+  GatewayRequest recent;
+  recent.id = "young";
+  recent.arrival = now;
+  const std::set<GatewayRequest*> active = {&long_open, &recent};
   reporter.LogOpenRequests(active, now);
   reporter.LogOpenRequests(active, now);
   log.Flush();
--- a/test/gateway/server_choice_test.cc
+++ b/test/gateway/server_choice_test.cc
@@ -35,7 +35,7 @@
   return choice.server ? choice.server->record().id : "";
 }
 
-TEST_CASE("The own zone, an empty queue and no failures are preferred") {
+TEST_CASE("The daemon's zone, a short queue and no failures are preferred") {
   ServerDirectory directory;
   directory.Put(MakeRecord("far", "y"), kNow);
   directory.Put(MakeRecord("near"), kNow);
@@ -43,7 +43,8 @@
   SECTION("a long queue") {
     directory.Find("near")->NoteLoad(8, 9, kNow);
     CHECK(Chosen(directory, MakeRequest()) == "far");
-    CHECK(Chosen(directory, MakeRequest(), kNow + seconds(5)) == "near");  // Old news.
+    CHECK(Chosen(directory, MakeRequest(), kNow + seconds(5)) ==
+          "near");  // The load report is outdated.
   }
   SECTION("failures") {
     directory.Find("near")->NoteFailure(kNow);
@@ -51,13 +52,13 @@
     for (int answer = 0; answer < 30; ++answer) directory.Find("near")->NoteSuccess();
     CHECK(Chosen(directory, MakeRequest()) == "near");
   }
-  SECTION("error answers while its health is good") {
+  SECTION("error responses without connection failures") {
     for (int answer = 0; answer < 5; ++answer) directory.Find("near")->NoteErrorAnswer();
     CHECK(Chosen(directory, MakeRequest()) == "far");
   }
 }
 
-TEST_CASE("Servers that leave, are gone, full or out of reach are not used") {
+TEST_CASE("Servers that are draining, gone, full, unreachable or removed are not used") {
   ServerDirectory directory;
   directory.Put(MakeRecord("only"), kNow);
   const ServerPtr only = directory.Find("only");
@@ -71,12 +72,12 @@
     only->NoteGone();
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(60)).empty());
   }
-  SECTION("full, for a moment") {
+  SECTION("full, for a short time") {
     only->NoteFull(kNow);
     CHECK(Chosen(directory, MakeRequest()).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(1)) == "only");
   }
-  SECTION("out of reach, longer each time") {
+  SECTION("unreachable, with increasing backoff") {
     for (int failure = 0; failure < 4; ++failure) only->NoteUnreachable(kNow);
     CHECK(Chosen(directory, MakeRequest(), kNow + milliseconds(1'500)).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(4)) == "only");
@@ -87,7 +88,7 @@
   }
 }
 
-TEST_CASE("A model or adapter is asked for only where it stands") {
+TEST_CASE("A request goes only to servers that hold its model or adapter") {
   ServerDirectory directory;
   directory.Put(MakeRecord("i"), kNow);
   const ServerPtr server = directory.Find("i");
@@ -95,21 +96,21 @@
   CHECK(Chosen(directory, MakeRequest("m/a1")) == "i");
   CHECK(Chosen(directory, MakeRequest("m/a2")).empty());
   CHECK(ChooseServer(directory, MakeRequest("n"), kNow).reason == NoServerReason::kModelNotHeld);
-  SECTION("a notice comes before the record") {
+  SECTION("a notice arrives before the record") {
     directory.NoteHeld(server, {"m", "a2"}, kNow);
     CHECK(Chosen(directory, MakeRequest("m/a2")) == "i");
     CHECK(Chosen(directory, MakeRequest("m/a2"), kNow + seconds(30)).empty());
   }
-  SECTION("an unload of the model hides its adapters, too") {
-    // Found on a calm day: requests for adapters were sent to a server that was unloading their
-    // model.
+  SECTION("unloading a model also makes its adapters unavailable") {
+    // Guards against a failure seen in a run without injected faults: requests for adapters were
+    // sent to a server that was unloading their model.
     server->NoteMissing({"m", ""}, kNow, milliseconds(5'000));
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + milliseconds(4'900)).empty());
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + seconds(6)) == "i");
   }
 }
 
-TEST_CASE("A prompt goes to the server that has read its beginning") {
+TEST_CASE("A prompt goes to the server that has its prefix in the cache") {
   ServerDirectory directory;
   directory.Put(MakeRecord("i"), kNow);
   directory.Put(MakeRecord("j"), kNow);
@@ -122,18 +123,18 @@
     fresh.Put(MakeRecord("j"), kNow);
     fresh.Find(id)->RememberPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
     CHECK(Chosen(fresh, request) == id);
-    request.model.adapter = "a1";  // Another adapter's memory does not serve.
+    request.model.adapter = "a1";  // The cache of another adapter is not usable.
     CHECK(fresh.Find(id)->KeptTokens(request.model, request.parts) == 0);
     request.model.adapter.clear();
   }
-  // Daemons that know nothing agree.
+  // Daemons that have not seen the prompt choose the same server.
   ServerDirectory other;
   other.Put(MakeRecord("j"), kNow);
   other.Put(MakeRecord("i"), kNow);
   CHECK(Chosen(directory, request) == Chosen(other, request));
 }
 
-TEST_CASE("Kept prompts are bounded, the oldest are forgotten") {
+TEST_CASE("Remembered prompts are bounded; the oldest are evicted") {
   RecentPrompts prompts;
   prompts.Remember({"m", ""}, {{"first", 100}});
   CHECK(prompts.KeptTokens({"m", ""}, {{"first", 100}}) == 100);
@@ -143,7 +144,7 @@
   CHECK(prompts.KeptTokens({"m", ""}, {{"999", 1}}) == 1);
 }
 
-/// @return how many of so many daemons, which know the same, choose each server.
+/// @return by server, how many of `daemons` daemons with the same knowledge choose it.
 std::map<std::string, int> ChoicesOf(int daemons, const ServerDirectory& directory,
                                      ChoiceRequest request) {
   std::map<std::string, int> chosen;
@@ -154,7 +155,7 @@
   return chosen;
 }
 
-TEST_CASE("Daemons that know the same spread over servers without models") {
+TEST_CASE("Daemons with the same knowledge spread requests over servers without models") {
   constexpr int kServers = 60;
   constexpr int kDaemons = 600;
   ServerDirectory directory;
@@ -171,7 +172,7 @@
   }
 }
 
-TEST_CASE("Whoever holds a model is found among it alone, whatever its record becomes") {
+TEST_CASE("The index of servers by model follows changes of their records") {
   ServerDirectory directory;
   for (int server = 0; server < 100; ++server) {
     ServerRecord record = MakeRecord("i-" + std::to_string(server));
--- a/test/gateway/stated_pause_test.cc
+++ b/test/gateway/stated_pause_test.cc
@@ -1,4 +1,4 @@
-// Servers that turn a request away and say when they want another.
+// Servers that reject a request with a Retry-After.
 
 #include <catch2/catch.hpp>
 
@@ -9,14 +9,14 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("A server that turns a request away for a time is left alone for that time") {
+TEST_CASE("A server that rejects a request with a Retry-After gets no requests for that time") {
   const std::string refusal = Answer(
       "503 Service Unavailable", "X-Request-Id: one\r\nX-Not-Executed: 1\r\nRetry-After: 2\r\n");
   TwoServers servers(refusal);
   const auto began = BootClock::now();
   const std::string answer = servers.Send();
   CHECK(PipelineFixture::Status(answer) == 503);
-  // A request that comes later may wait for the end of the pause.
+  // A later request could wait until the pause ends.
   while (BootClock::now() - began < milliseconds(1'700)) {
     servers.Send();
     std::this_thread::sleep_for(milliseconds(20));
@@ -27,7 +27,8 @@
   CHECK(servers.first_got == 2);
 }
 
-TEST_CASE("Callers of servers that all want a pause are turned away at once, with its time") {
+TEST_CASE(
+    "If all servers have asked for a pause, requests are refused at once with its remaining time") {
   const std::string refusal = Answer(
       "503 Service Unavailable", "X-Request-Id: one\r\nX-Not-Executed: 1\r\nRetry-After: 2\r\n");
   TwoServers servers(refusal);
--- a/test/gateway/two_servers.h
+++ b/test/gateway/two_servers.h
@@ -10,7 +10,7 @@
 
 inline const std::string kSealed = "X-Response-Seal: s1\r\nX-Request-Id: one\r\n";
 
-/// Answers each request on a connection with the same bytes, and counts.
+/// Sends the same bytes in response to each request on a connection, and counts the requests.
 inline ScriptedServer::Script Always(std::string answer, std::atomic<int>& requests) {
   return [answer, &requests](ScriptedConnection& connection) {
     while (!connection.ReadHead().empty()) {
@@ -24,7 +24,7 @@
   return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: 0\r\n\r\n";
 }
 
-/// A pipeline before a first server and, later, a second one that answers all that it gets.
+/// A pipeline with one server and, after `AddSecond`, a second one that answers every request.
 struct TwoServers {
   explicit TwoServers(const std::string& answer, RouteType type = RouteType::kRepeatable)
       : first(Always(answer, first_got)), second(Always(Answer("200 OK", kSealed), second_got)) {
@@ -34,7 +34,7 @@
   void AddSecond() { fixture.AddServer(first_id == "i-1" ? "i-2" : "i-1", second.endpoint()); }
   std::string Send() { return fixture.Exchange(PipelineFixture::Request()); }
 
-  /// Whichever of the two is preferred otherwise is the first once.
+  /// Runs the test with either ID, so that the tie-break between servers does not matter.
   std::string first_id = GENERATE("i-1", "i-2");
   std::atomic<int> first_got = 0;
   std::atomic<int> second_got = 0;
--- a/test/gateway/wait_policy_test.cc
+++ b/test/gateway/wait_policy_test.cc
@@ -20,43 +20,46 @@
   return request;
 }
 
-TEST_CASE("A model on its way is waited for, and a little longer") {
+TEST_CASE("A request waits for an announced model load, plus a margin for overrun") {
   WaitingRequest request = MakeRequest(NoServerReason::kModelNotHeld);
   request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(2'000)};
   CHECK(WaitDeadline(request) == kArrival + milliseconds(3'000));
 }
 
-TEST_CASE("A request whose model comes too late is refused at once, with the time of its model") {
+TEST_CASE(
+    "A request whose model loads too late is refused at once, with the load's remaining time") {
   WaitingRequest request = MakeRequest(NoServerReason::kModelNotHeld);
   request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(6'000)};
   CHECK(WaitDeadline(request) <= kArrival);
   CHECK(RetryAfter(request, kArrival, 0) == milliseconds(6'000));
-  // Leaving the answer no time is too late, too.
+  // A load that leaves no time for the response is too late as well.
   request.expected = ExpectedModelLoad{kArrival, kArrival + milliseconds(4'950)};
   CHECK(WaitDeadline(request) <= kArrival);
 }
 
-TEST_CASE("Without a word of the leader a request waits for two of its daemon's reports") {
+TEST_CASE("Without an announcement a request waits for two of its daemon's demand reports") {
   CHECK(WaitDeadline(MakeRequest(NoServerReason::kModelNotHeld)) == kArrival + milliseconds(1'200));
-  // What was expected and has not come counts as no word.
+  // An announced load that is long overdue counts as no announcement.
   WaitingRequest request = MakeRequest(NoServerReason::kModelNotHeld);
   request.expected =
       ExpectedModelLoad{kArrival - milliseconds(9'000), kArrival - milliseconds(6'000)};
   CHECK(WaitDeadline(request) == kArrival + milliseconds(1'200));
 }
 
-TEST_CASE("Where no word comes a load from disk is waited for, too, and for no longer") {
+TEST_CASE(
+    "Without an announcement a request also waits for the time of a load from disk, no longer") {
   WaitingRequest request = MakeRequest(NoServerReason::kModelNotHeld);
   request.load_time = milliseconds(840);
   CHECK(WaitDeadline(request) == kArrival + milliseconds(2'040));
   CHECK(RetryAfter(request, kArrival, 0) == milliseconds(2'040));
 }
 
-TEST_CASE("A place at a busy server is waited for while the answer can still be in time") {
+TEST_CASE("A request waits for a busy server while it can still meet its target") {
   CHECK(WaitDeadline(MakeRequest(NoServerReason::kAllUnusable)) == kArrival + milliseconds(800));
 }
 
-TEST_CASE("Nobody is held past the time that an answer takes, nor past a client's patience") {
+TEST_CASE(
+    "A request stops waiting when no time is left for a response or the client would give up") {
   for (const NoServerReason reason : {NoServerReason::kModelNotHeld, NoServerReason::kAllUnusable,
                                       NoServerReason::kUnknownService}) {
     CHECK(WaitDeadline(MakeRequest(reason, milliseconds(300))) == kArrival + milliseconds(200));
@@ -66,7 +69,7 @@
   }
 }
 
-TEST_CASE("Refused callers come back spread over half as long again") {
+TEST_CASE("The retry delay of refused callers has a jitter of up to half its length") {
   const WaitingRequest request = MakeRequest(NoServerReason::kModelNotHeld);
   CHECK(RetryAfter(request, kArrival, 0) == milliseconds(1'200));
   CHECK(RetryAfter(request, kArrival, 1) == milliseconds(1'800));
@@ -80,7 +83,7 @@
   CHECK(jitters.size() > 50);
 }
 
-TEST_CASE("What is expected is kept by base model, and forgotten long after its time") {
+TEST_CASE("Expected loads are stored by base model and removed when they are long overdue") {
   ExpectedModelLoads expected;
   expected.Note({"m", ""}, {kArrival, kArrival + milliseconds(1'000)});
   REQUIRE(expected.Find({"m", "a1"}));
