--- a/test/gateway/stated_leaving_test.cc
+++ b/test/gateway/stated_leaving_test.cc
@@ -20,14 +20,14 @@
   CAPTURE(answer);
   TwoServers servers(answer);
   servers.Send();
-  const int got = servers.first_got;
+  const int got = servers.first_requests;
   REQUIRE(got > 0);
   servers.AddSecond();
   for (int request = 0; request < 8; ++request) {
     CHECK(PipelineFixture::Status(servers.Send()) == 200);
     std::this_thread::sleep_for(milliseconds(30));
   }
-  CHECK(servers.first_got == got);
+  CHECK(servers.first_requests == got);
 }
 
 TEST_CASE("After a stream whose head says that its server leaves, nothing more goes there") {
@@ -36,10 +36,10 @@
                              "id: 1\ndata: a\n\n\n";
   TwoServers servers(stream, RouteType::kStream);
   servers.Send();
-  CHECK(servers.first_got == 1);
+  CHECK(servers.first_requests == 1);
   servers.AddSecond();
   CHECK(PipelineFixture::Status(servers.Send()) == 200);
-  CHECK(servers.first_got == 1);
+  CHECK(servers.first_requests == 1);
 }
 
 TEST_CASE("A server that has said that it leaves stays out of use when its entry comes back") {
--- a/test/gateway/stated_pause_test.cc
+++ b/test/gateway/stated_pause_test.cc
@@ -21,10 +21,10 @@
     servers.Send();
     std::this_thread::sleep_for(milliseconds(20));
   }
-  CHECK(servers.first_got == 1);
+  CHECK(servers.first_requests == 1);
   std::this_thread::sleep_for(milliseconds(500));
   servers.Send();
-  CHECK(servers.first_got == 2);
+  CHECK(servers.first_requests == 2);
 }
 
 TEST_CASE(
--- a/test/gateway/two_servers.h
+++ b/test/gateway/two_servers.h
@@ -27,7 +27,8 @@
 /// A pipeline with one server and, after `AddSecond`, a second one that answers every request.
 struct TwoServers {
   explicit TwoServers(const std::string& answer, RouteType type = RouteType::kRepeatable)
-      : first(Always(answer, first_got)), second(Always(Answer("200 OK", kSealed), second_got)) {
+      : first(Always(answer, first_requests)),
+        second(Always(Answer("200 OK", kSealed), second_requests)) {
     fixture.SetRoutes({PipelineFixture::MakeRoute(type)});
     fixture.AddServer(first_id, first.endpoint());
   }
@@ -36,8 +37,8 @@
 
   /// Runs the test with either ID, so that the tie-break between servers does not matter.
   std::string first_id = GENERATE("i-1", "i-2");
-  std::atomic<int> first_got = 0;
-  std::atomic<int> second_got = 0;
+  std::atomic<int> first_requests = 0;
+  std::atomic<int> second_requests = 0;
   PipelineFixture fixture;
   ScriptedServer first;
   ScriptedServer second;
