--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -136,7 +136,7 @@
 }
 
 HttpRequest Forwarder::MakeRequestHead(const HttpRequest& original, const GatewayRequest& request,
-                                       const Server& server, SteadyTime attempt_end) const {
+                                       const Server& server, SteadyTime attempt_deadline) const {
   const HeaderNames& names = protocol_.headers();
   HttpRequest head{original.method, original.target, {}, ""};
   const HopByHopHeaders hop_by_hop(original.headers);
@@ -150,7 +150,7 @@
   }
   if (!request.last_event_id.empty())
     head.headers.push_back({names.last_event, request.last_event_id});
-  const milliseconds remaining = std::max(milliseconds(1), Remaining(attempt_end));
+  const milliseconds remaining = std::max(milliseconds(1), Remaining(attempt_deadline));
   head.headers.push_back({names.deadline, std::to_string(remaining.count())});
   head.headers.push_back({names.expected_server, server.record().id});
   if (!request.model.model.empty())
@@ -320,7 +320,7 @@
 }
 
 Awaitable<AttemptResult> Forwarder::Forward(HttpServerExchange& exchange, GatewayRequest& request,
-                                            ServerPtr server, SteadyTime attempt_end,
+                                            ServerPtr server, SteadyTime attempt_deadline,
                                             bool last_attempt) {
   AttemptResult result;
   UpstreamConnectionPtr upstream;
@@ -340,10 +340,10 @@
                             "the server is leaving or has asked for a pause"};
   }
   const AttemptGuard guard(request, *server, upstream, co_await boost::asio::this_coro::executor,
-                           attempt_end);
+                           attempt_deadline);
   try {
     const SteadyTime sent_at = BootClock::now();
-    upstream->BeginSend(MakeRequestHead(exchange.request(), request, *server, attempt_end),
+    upstream->BeginSend(MakeRequestHead(exchange.request(), request, *server, attempt_deadline),
                         request.body);
     result = co_await Exchange(exchange, request, *server, sent_at, last_attempt);
   } catch (const HttpError& error) {
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -19,10 +19,11 @@
   Forwarder(boost::asio::io_context& context, const FleetProtocol& protocol,
             ServerStatements& statements, GatewayMetrics& metrics);
 
-  /// @param attempt_end when to abandon the attempt; no later than the request's expiry.
+  /// @param attempt_deadline when to abandon the attempt; no later than the request's expiry.
   /// @param last_attempt whether to relay an error response of the server to the client.
   Awaitable<AttemptResult> Forward(HttpServerExchange& exchange, GatewayRequest& request,
-                                   ServerPtr server, SteadyTime attempt_end, bool last_attempt);
+                                   ServerPtr server, SteadyTime attempt_deadline,
+                                   bool last_attempt);
   void Sweep() { pool_.Sweep(); }
   std::uint64_t connections_opened() const { return connections_opened_; }
 
@@ -31,7 +32,7 @@
 
   Awaitable<UpstreamConnectionPtr> Connect(const GatewayRequest& request, const Server& server);
   HttpRequest MakeRequestHead(const HttpRequest& original, const GatewayRequest& request,
-                              const Server& server, SteadyTime attempt_end) const;
+                              const Server& server, SteadyTime attempt_deadline) const;
   Awaitable<AttemptResult> Exchange(HttpServerExchange& exchange, GatewayRequest& request,
                                     Server& server, SteadyTime sent_at, bool last_attempt);
   Awaitable<void> ReadMatchingHead(UpstreamConnection& upstream, const GatewayRequest& request);
--- a/src/gateway/quarantine_filter.cc
+++ b/src/gateway/quarantine_filter.cc
@@ -23,7 +23,7 @@
 /// A suspected request is tried at one server at a time, and not at a server that has another
 /// suspect: if the server crashes, the cause is unambiguous; if not, the request is cleared.
 bool QuarantineFilter::ExcludeServers(const GatewayRequest& request,
-                                      ChoiceRequest& choice_request) const {
+                                      ServerChoiceRequest& choice_request) const {
   if (quarantine_.OnTrial(request.fingerprint)) return false;
   bool suspected = false;
   for (const ServerPtr& server : view_.servers.Of(request.service)) {
--- a/src/gateway/quarantine_filter.h
+++ b/src/gateway/quarantine_filter.h
@@ -19,7 +19,7 @@
   bool IsQuarantined(const GatewayRequest& request) const;
   /// Excludes servers to which a suspected request must not be sent now.
   /// @return whether a server may be chosen at all; false while the request is on trial elsewhere.
-  bool ExcludeServers(const GatewayRequest& request, ChoiceRequest& choice_request) const;
+  bool ExcludeServers(const GatewayRequest& request, ServerChoiceRequest& choice_request) const;
   /// Records in the case book what an attempt shows about its server and its request.
   void RecordAttempt(const GatewayRequest& request, const Server& server,
                      const AttemptResult& result, SteadyTime sent_at);
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -142,8 +142,8 @@
 }
 
 ServerPtr RequestPipeline::TryChooseServer(GatewayRequest& request, NoServerReason& reason) const {
-  ChoiceRequest choice_request{request.service, request.model, request.parts, settings_.zone,
-                               request.failed_servers};
+  ServerChoiceRequest choice_request{request.service, request.model, request.parts, settings_.zone,
+                                     request.failed_servers};
   choice_request.daemon_name = settings_.name;
   for (const ServerRefusal& refusal : request.refusals)
     if (BootClock::now() < refusal.until) choice_request.excluded.push_back(refusal.server_id);
@@ -153,7 +153,7 @@
     return nullptr;
   }
   const auto now = BootClock::now();
-  Choice choice = ChooseServer(view_.servers, choice_request, now);
+  ServerChoice choice = ChooseServer(view_.servers, choice_request, now);
   reason = choice.reason;
   request.expected_ms = choice.cost_ms;
   request.capacity_at = choice.capacity_at;
@@ -203,7 +203,7 @@
   return request.Repeatable() && request.may_have_run + 1 < request.route->attempts;
 }
 
-SteadyTime RequestPipeline::AttemptEnd(const GatewayRequest& request) const {
+SteadyTime RequestPipeline::AttemptDeadline(const GatewayRequest& request) const {
   constexpr int kTargetsPerAttempt = 2;
   constexpr double kRemainingTimeShare = 0.5;
   const bool limited = request.route->type == RouteType::kRepeatable && MayRetryElsewhere(request);
@@ -309,7 +309,7 @@
   const bool last = !MayRetryElsewhere(request);
   const SteadyTime sent_at = BootClock::now();
   AttemptResult result =
-      co_await forwarder_.Forward(exchange, request, server, AttemptEnd(request), last);
+      co_await forwarder_.Forward(exchange, request, server, AttemptDeadline(request), last);
   wait_estimator_.RecordResponseTime(request, sent_at);
   quarantine_filter_.RecordAttempt(request, *server, result, sent_at);
   co_return result;
--- a/src/gateway/request_pipeline.h
+++ b/src/gateway/request_pipeline.h
@@ -42,6 +42,7 @@
                   PipelineSettings settings);
 
   Awaitable<void> Handle(HttpServerExchange& exchange);
+  /// Closes connections to servers that have been idle for too long.
   void Sweep() { forwarder_.Sweep(); }
   /// Sets how many retries each service may get in a window regardless of its first attempts.
   void SetMinRetries(double min_retries);
@@ -73,7 +74,7 @@
   Awaitable<void> AwaitStoreRead(const GatewayRequest& request);
   Awaitable<ServerPtr> AwaitServer(GatewayRequest& request);
   ServerPtr TryChooseServer(GatewayRequest& request, NoServerReason& reason) const;
-  SteadyTime AttemptEnd(const GatewayRequest& request) const;
+  SteadyTime AttemptDeadline(const GatewayRequest& request) const;
   bool MayRetryElsewhere(const GatewayRequest& request) const;
   NextStep DecideNextStep(const GatewayRequest& request, const AttemptResult& result);
   Refusal MakeFailureRefusal(const GatewayRequest& request, const AttemptResult& result) const;
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -37,7 +37,7 @@
 }
 
 /// @return between 0 and 1, fixed for each pair of daemon and server.
-double DaemonTieBreak(const ChoiceRequest& request, const std::string& server_id) {
+double DaemonTieBreak(const ServerChoiceRequest& request, const std::string& server_id) {
   // Short texts that differ only in the last character differ in few bits of the hash: mix once
   // more.
   constexpr unsigned kShift = 29;
@@ -48,7 +48,7 @@
 }
 
 /// @return between 0 and 1, the same at every daemon for a shared prompt prefix and a server.
-double FleetTieBreak(const ChoiceRequest& request, const std::string& server_id) {
+double FleetTieBreak(const ServerChoiceRequest& request, const std::string& server_id) {
   std::uint64_t hash =
       HashAppend(HashAppend(kHashOffsetBasis, request.model.model), request.model.adapter);
   for (std::size_t part = 0; part + 1 < request.parts.size(); ++part)
@@ -62,7 +62,7 @@
   return tokens;
 }
 
-double QueueMs(const Server& server, const ChoiceRequest& request, SteadyTime now) {
+double QueueMs(const Server& server, const ServerChoiceRequest& request, SteadyTime now) {
   const double requests = server.ExpectedRequests(now);
   if (request.model.model.empty())
     return kModellessRequestMs * requests / std::max(1U, server.record().slots) +
@@ -70,7 +70,7 @@
   return kRunningModelRequestMs * requests + kWaitingModelRequestMs * server.ExpectedWaiting(now);
 }
 
-double PromptMs(const Server& server, const ChoiceRequest& request) {
+double PromptMs(const Server& server, const ServerChoiceRequest& request) {
   if (request.parts.empty()) return 0;
   const double cached = server.KeptTokens(request.model, request.parts);
   const double uncached = TotalTokens(request.parts) - cached;
@@ -78,7 +78,7 @@
          kFleetTieBreakMs * FleetTieBreak(request, server.record().id);
 }
 
-double CostMs(const Server& server, const ChoiceRequest& request, SteadyTime now) {
+double CostMs(const Server& server, const ServerChoiceRequest& request, SteadyTime now) {
   double cost = QueueMs(server, request, now) + PromptMs(server, request);
   if (server.record().zone != request.zone) cost += kOtherZoneMs;
   if (server.Suspect(now)) cost += kRecentFailureMs;
@@ -88,7 +88,7 @@
 
 /// Records a server that is usable except for its limit: the request waits for it if there is no
 /// other.
-void RecordServerAtLimit(const Server& server, Choice& choice) {
+void RecordServerAtLimit(const Server& server, ServerChoice& choice) {
   const bool first = choice.capacity_at == SteadyTime{};
   choice.capacity_at = first ? server.FreeAt() : std::min(choice.capacity_at, server.FreeAt());
   if (choice.reason != NoServerReason::kAllUnusable) choice.reason = NoServerReason::kAtLimit;
@@ -100,9 +100,9 @@
 
 }  // namespace
 
-Choice ChooseServer(const ServerDirectory& directory, const ChoiceRequest& request,
-                    SteadyTime now) {
-  Choice choice;
+ServerChoice ChooseServer(const ServerDirectory& directory, const ServerChoiceRequest& request,
+                          SteadyTime now) {
+  ServerChoice choice;
   const bool known = !directory.Of(request.service).empty();
   choice.reason = known ? NoServerReason::kModelNotHeld : NoServerReason::kUnknownService;
   const bool of_model = !request.model.model.empty();
--- a/src/gateway/server_choice.h
+++ b/src/gateway/server_choice.h
@@ -8,7 +8,7 @@
 namespace moorfold {
 
 /// Properties of a request that the choice of a server depends on.
-struct ChoiceRequest {
+struct ServerChoiceRequest {
   std::string service;
   ModelReference model;  ///< Empty: the service holds no models.
   std::vector<PromptPart> parts;
@@ -29,7 +29,7 @@
   kQuarantined  ///< Every server that holds the model would crash while processing it.
 };
 
-struct Choice {
+struct ServerChoice {
   ServerPtr server;
   NoServerReason reason = NoServerReason::kNone;
   double cost_ms = 0;
@@ -40,6 +40,7 @@
 /// Chooses the server with the lowest expected time to first byte. The estimate covers the server's
 /// queue, the part of the prompt that is not in its cache, the network distance and a penalty for
 /// failures. Pure function.
-Choice ChooseServer(const ServerDirectory& directory, const ChoiceRequest& request, SteadyTime now);
+ServerChoice ChooseServer(const ServerDirectory& directory, const ServerChoiceRequest& request,
+                          SteadyTime now);
 
 }  // namespace moorfold
--- a/test/gateway/server_choice_test.cc
+++ b/test/gateway/server_choice_test.cc
@@ -21,17 +21,17 @@
   return record;
 }
 
-ChoiceRequest MakeRequest(const std::string& model = "") {
-  ChoiceRequest request;
+ServerChoiceRequest MakeRequest(const std::string& model = "") {
+  ServerChoiceRequest request;
   request.service = "s";
   request.model = ParseModelReference(model);
   request.zone = "z";
   return request;
 }
 
-std::string Chosen(const ServerDirectory& directory, const ChoiceRequest& request,
+std::string Chosen(const ServerDirectory& directory, const ServerChoiceRequest& request,
                    SteadyTime now = kNow) {
-  const Choice choice = ChooseServer(directory, request, now);
+  const ServerChoice choice = ChooseServer(directory, request, now);
   return choice.server ? choice.server->record().id : "";
 }
 
@@ -114,7 +114,7 @@
   ServerDirectory directory;
   directory.Put(MakeRecord("i"), kNow);
   directory.Put(MakeRecord("j"), kNow);
-  ChoiceRequest request = MakeRequest("m");
+  ServerChoiceRequest request = MakeRequest("m");
   request.parts = {{"shared", 6000}, {"own", 500}};
   for (const char* id : {"i", "j"}) {
     CAPTURE(id);
@@ -146,7 +146,7 @@
 
 /// @return by server, how many of `daemons` daemons with the same knowledge choose it.
 std::map<std::string, int> ChoicesOf(int daemons, const ServerDirectory& directory,
-                                     ChoiceRequest request) {
+                                     ServerChoiceRequest request) {
   std::map<std::string, int> chosen;
   for (int daemon = 0; daemon < daemons; ++daemon) {
     request.daemon_name = "edge-" + std::to_string(daemon);
