--- /dev/null
+++ b/src/gateway/quarantine_filter.h
@@ -0,0 +1,32 @@
+#pragma once
+
+#include "gateway/fleet_view.h"
+#include "gateway/gateway_request.h"
+#include "gateway/server_choice.h"
+#include "quarantine/quarantine_service.h"
+
+namespace moorfold {
+
+/// Keeps requests that crash servers ("queries of death") away from servers, and records the
+/// evidence of attempts in the quarantine's case book. Not thread-safe.
+class QuarantineFilter {
+ public:
+  QuarantineFilter(const FleetView& view, QuarantineService& quarantine)
+      : view_(view), quarantine_(quarantine) {}
+
+  /// @return whether the request is quarantined for the software version of every known server of
+  /// its service.
+  bool IsQuarantined(const GatewayRequest& request) const;
+  /// Excludes servers to which a suspected request must not be sent now.
+  /// @return whether a server may be chosen at all; false while the request is on trial elsewhere.
+  bool ExcludeServers(const GatewayRequest& request, ServerChoiceRequest& choice_request) const;
+  /// Records in the case book what an attempt shows about its server and its request.
+  void RecordAttempt(const GatewayRequest& request, const Server& server,
+                     const AttemptResult& result, SteadyTime sent_at);
+
+ private:
+  const FleetView& view_;
+  QuarantineService& quarantine_;
+};
+
+}  // namespace moorfold
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -22,7 +22,7 @@
   return nullptr;
 }
 
-const std::string& SplitDealer::Next(const Route& route) {
+const std::string& WeightedRoundRobin::Next(const Route& route) {
   if (route.services.size() == 1) return route.services.front().service;
   std::vector<double>& credits = credits_[route.name];
   credits.resize(route.services.size(), 0);
@@ -31,9 +31,9 @@
     credits[part] += route.services[part].weight;
     total += route.services[part].weight;
   }
-  const auto best = std::max_element(credits.begin(), credits.end());
-  *best -= total;
-  return route.services[static_cast<std::size_t>(best - credits.begin())].service;
+  const auto largest = std::max_element(credits.begin(), credits.end());
+  *largest -= total;
+  return route.services[static_cast<std::size_t>(largest - credits.begin())].service;
 }
 
 }  // namespace moorfold
