--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -168,7 +168,7 @@
     if (wanted.waiting > 0 && !name.adapter.empty()) models.insert(name.model);
   std::map<std::string, ServerPtr> holding;
   for (const std::string& model : models)
-    for (const ServerPtr& server : view_.servers.Holding(service.name, model))
+    for (const ServerPtr& server : view_.servers.ServersWithModel(service.name, model))
       holding.emplace(server->record().id, server);
   if (holding.empty()) return;
   std::vector<PlannedServer> servers;
@@ -212,7 +212,7 @@
   const ManagedPtr managed = ManagedLife(server.record());
   PlannedServer planned;
   planned.id = server.record().id;
-  planned.serving = server.Usable(now) && !server.TurnsAway(now) && !server.Suspect(now) &&
+  planned.serving = server.Usable(now) && !server.RejectsRequests(now) && !server.Suspect(now) &&
                     !demand_.Unreachable(server.record().id, now);
   planned.orderable = planned.serving && !managed->operating && now >= managed->not_before &&
                       election_.ServerFree(planned.id);
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -186,19 +186,19 @@
     const std::array<std::uint32_t, 3> load =
         ParseLoad(FindHeader(headers, protocol_.headers().server_load));
     // A server that names a time to come back speaks of itself, not of the request.
-    const bool full = request.model.model.empty() || server.TurnsAway(now) ||
+    const bool full = request.model.model.empty() || server.RejectsRequests(now) ||
                       load[0] + load[1] >= server.record().slots;
     result.problem =
         full ? "the server is full" : "the server has places, but refuses this request";
     result.refused_alone = !full;
-    if (full) server.NoteFull(now);
+    if (full) server.MarkFull(now);
     return result;
   }
   if (AnswersForOther(headers, status, server)) {
-    server.NoteGone();
+    server.MarkGone();
     result.problem = "another server has its address";
   } else {
-    server.NoteMissing(request.model, now, kModelMissing);
+    server.RecordModelMissing(request.model, now, kModelMissing);
     result.problem = "the server does not hold the model";
   }
   return result;
@@ -296,11 +296,11 @@
   if (success && (!sealed || !FindHeader(headers, "Content-Encoding").empty()))
     co_return ForwardResult{ForwardEnd::kMayHaveRun, status, "the answer is not a server's whole"};
   const bool failed = status >= http_status::kFirstServerError;
-  if (failed) server.NoteErrorAnswer();
+  if (failed) server.RecordErrorResponse();
   // A refusal that does not say "not run" must not reach the client as one: it would be a promise.
   const bool unusable = refused || (failed && !last_attempt) || (!success && request.head_sent);
   if (unusable) co_return ForwardResult{ForwardEnd::kMayHaveRun, status, "it failed"};
-  if (success) server.RememberPrompt(request.model, request.parts);
+  if (success) server.RecordPrompt(request.model, request.parts);
   ForwardResult result;
   if (success && request.route->type == RouteType::kStream)
     result = co_await PassStream(exchange, request, std::move(headers));
@@ -318,14 +318,14 @@
   try {
     upstream = co_await Connect(request, *server);
   } catch (const HttpError& error) {
-    server->NoteUnreachable(BootClock::now());
+    server->MarkUnreachable(BootClock::now());
     co_return ForwardResult{ForwardEnd::kNotRun, 0, error.what(), error.peer_ended()};
   }
   if (request.client_left) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kLongestRest);
     co_return ForwardResult{ForwardEnd::kClientLeft, 0, ""};
   }
-  if (server->TurnsAway(BootClock::now())) {
+  if (server->RejectsRequests(BootClock::now())) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kLongestRest);
     co_return ForwardResult{ForwardEnd::kNotRun, 0, "the server leaves, or wants a pause"};
   }
@@ -344,9 +344,9 @@
   const bool unanswered =
       result.end == ForwardEnd::kMayHaveRun || result.end == ForwardEnd::kBrokenOff;
   if (unanswered && result.status < http_status::kBadRequest)
-    server->NoteFailure(BootClock::now());
+    server->RecordFailure(BootClock::now());
   else if (result.end == ForwardEnd::kAnswered && result.status < http_status::kFirstServerError)
-    server->NoteSuccess();
+    server->RecordSuccess();
   co_return result;
 }
 
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -53,9 +53,9 @@
     return;
   }
   if (notice.held)
-    view_.servers.NoteHeld(server, notice.name, now);
+    view_.servers.RecordModelHeld(server, notice.name, now);
   else
-    server->NoteMissing(notice.name, now, kUnloadSettles);
+    server->RecordModelMissing(notice.name, now, kUnloadSettles);
   if (notice.held) view_.changed.NotifyAll();
 }
 
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -291,7 +291,7 @@
                                           BootClock::duration{}, until - BootClock::now()));
   const bool granted = co_await permits_.Acquire(server, patience);
   // It may have been heard meanwhile that the server leaves, or wants a pause.
-  co_return granted && !server->TurnsAway(BootClock::now());
+  co_return granted && !server->RejectsRequests(BootClock::now());
 }
 
 Awaitable<ForwardResult> RequestPipeline::Attempt(HttpServerExchange& exchange,
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -11,7 +11,7 @@
 constexpr std::chrono::milliseconds kShortestSuspicion{300};
 constexpr std::chrono::milliseconds kLongestSuspicion{3'000};
 constexpr std::chrono::milliseconds kStatedLoadLife{1'000};
-constexpr double kErrorWeight = 0.2;  ///< Of the newest answer in the share of failures.
+constexpr double kErrorWeight = 0.2;  ///< ServersOf the newest answer in the share of failures.
 
 bool Names(const ServerRecord& record, const std::string& model) {
   return std::any_of(record.models.begin(), record.models.end(),
@@ -46,8 +46,8 @@
   }
 }
 
-double RecentPrompts::KeptTokens(const ModelReference& model,
-                                 const std::vector<PromptPart>& parts) const {
+double RecentPrompts::CachedPrefixTokens(const ModelReference& model,
+                                         const std::vector<PromptPart>& parts) const {
   std::uint64_t hash = Start(model);
   double tokens = 0;
   for (const PromptPart& part : parts) {
@@ -88,42 +88,42 @@
   notes_.push_back({model, until, held});
 }
 
-void Server::NoteHeld(const ModelReference& model, SteadyTime now) {
+void Server::RecordModelHeld(const ModelReference& model, SteadyTime now) {
   Note(model, now + kNoteLife, true, now);
 }
 
-void Server::NoteMissing(const ModelReference& model, SteadyTime now,
-                         std::chrono::milliseconds life) {
+void Server::RecordModelMissing(const ModelReference& model, SteadyTime now,
+                                std::chrono::milliseconds life) {
   Note(model, now + life, false, now);
 }
 
 bool Server::Usable(SteadyTime now) const {
-  return !Leaves() && now >= full_until_ && !Unreachable(now);
+  return !IsLeaving() && now >= full_until_ && !Unreachable(now);
 }
 
-void Server::NoteSuccess() {
+void Server::RecordSuccess() {
   failures_in_row_ = 0;
   suspect_until_ = {};
   unreachable_until_ = {};
   error_share_ *= 1 - kErrorWeight;
 }
 
-void Server::NoteErrorAnswer() { error_share_ += (1 - error_share_) * kErrorWeight; }
+void Server::RecordErrorResponse() { error_share_ += (1 - error_share_) * kErrorWeight; }
 
-void Server::NoteFailure(SteadyTime now) {
+void Server::RecordFailure(SteadyTime now) {
   constexpr std::uint32_t kMostDoublings = 4;
-  NoteErrorAnswer();
+  RecordErrorResponse();
   const auto length = kShortestSuspicion * (1U << std::min(failures_in_row_, kMostDoublings));
   ++failures_in_row_;
   suspect_until_ = now + std::min<std::chrono::milliseconds>(length, kLongestSuspicion);
 }
 
-void Server::NoteUnreachable(SteadyTime now) {
-  NoteFailure(now);
+void Server::MarkUnreachable(SteadyTime now) {
+  RecordFailure(now);
   unreachable_until_ = suspect_until_;
 }
 
-void Server::NoteFull(SteadyTime now) { full_until_ = now + kFullPause; }
+void Server::MarkFull(SteadyTime now) { full_until_ = now + kFullPause; }
 
 void Server::NoteLoad(std::uint32_t running, std::uint32_t waiting, SteadyTime now) {
   stated_running_ = running;
@@ -143,13 +143,14 @@
   return now - stated_at_ > kStatedLoadLife ? 0 : stated_waiting_;
 }
 
-void Server::RememberPrompt(const ModelReference& model, const std::vector<PromptPart>& parts) {
+void Server::RecordPrompt(const ModelReference& model, const std::vector<PromptPart>& parts) {
   if (!prompts_) prompts_ = std::make_unique<RecentPrompts>();
   prompts_->Remember(model, parts);
 }
 
-double Server::KeptTokens(const ModelReference& model, const std::vector<PromptPart>& parts) const {
-  return prompts_ ? prompts_->KeptTokens(model, parts) : 0;
+double Server::CachedPrefixTokens(const ModelReference& model,
+                                  const std::vector<PromptPart>& parts) const {
+  return prompts_ ? prompts_->CachedPrefixTokens(model, parts) : 0;
 }
 
 bool ServerDirectory::Put(ServerRecord record, SteadyTime now) {
@@ -175,9 +176,9 @@
   return true;
 }
 
-void ServerDirectory::NoteHeld(const ServerPtr& server, const ModelReference& model,
-                               SteadyTime now) {
-  server->NoteHeld(model, now);
+void ServerDirectory::RecordModelHeld(const ServerPtr& server, const ModelReference& model,
+                                      SteadyTime now) {
+  server->RecordModelHeld(model, now);
   Index(server, model.model);
 }
 
@@ -196,7 +197,7 @@
 }
 
 void ServerDirectory::Drop(const ServerPtr& server) {
-  server->NoteGone();
+  server->MarkGone();
   Service& service = by_service_[server->record().service];
   std::erase(service.servers, server);
   // A note may have put it under models that its record does not name.
@@ -215,14 +216,14 @@
   return found == by_id_.end() ? nullptr : found->second;
 }
 
-const ServerDirectory::Servers& ServerDirectory::Of(const std::string& service) const {
+const ServerDirectory::Servers& ServerDirectory::ServersOf(const std::string& service) const {
   static const Servers kNone;
   const auto found = by_service_.find(service);
   return found == by_service_.end() ? kNone : found->second.servers;
 }
 
-const ServerDirectory::Servers& ServerDirectory::Holding(const std::string& service,
-                                                         const std::string& model) const {
+const ServerDirectory::Servers& ServerDirectory::ServersWithModel(const std::string& service,
+                                                                  const std::string& model) const {
   static const Servers kNone;
   const auto found = by_service_.find(service);
   if (found == by_service_.end()) return kNone;
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -24,7 +24,8 @@
  public:
   void Remember(const ModelReference& model, const std::vector<PromptPart>& parts);
   /// @return tokens of the longest run of leading parts that were sent for that model.
-  double KeptTokens(const ModelReference& model, const std::vector<PromptPart>& parts) const;
+  double CachedPrefixTokens(const ModelReference& model,
+                            const std::vector<PromptPart>& parts) const;
 
  private:
   static constexpr std::size_t kMostParts = 192;
@@ -50,7 +51,8 @@
   /// The model cannot be asked for there, though the record may say so: an order on it is under
   /// way.
   /// @param life how long to believe it over the record.
-  void NoteMissing(const ModelReference& model, SteadyTime now, std::chrono::milliseconds life);
+  void RecordModelMissing(const ModelReference& model, SteadyTime now,
+                          std::chrono::milliseconds life);
 
   /// Whether requests may be sent at all: neither leaving, proved gone, full nor out of reach.
   bool Usable(SteadyTime now) const;
@@ -59,31 +61,31 @@
   /// Whether no connection to it came up lately.
   bool Unreachable(SteadyTime now) const { return now < unreachable_until_; }
   /// The server said it leaves, or another incarnation answered at its address.
-  void NoteGone() { gone_ = true; }
+  void MarkGone() { gone_ = true; }
   bool gone() const { return gone_; }
   /// Whether its entry or an answer has said that it leaves.
-  bool SaysItLeaves() const { return record_.draining || standing_.leaving; }
+  bool ReportsLeaving() const { return record_.draining || standing_.leaving; }
   /// Whether nothing more is to be sent there in this life.
-  bool Leaves() const { return gone_ || SaysItLeaves(); }
+  bool IsLeaving() const { return gone_ || ReportsLeaving(); }
   /// Whether it wants nothing of this daemon now, though a request was let through to it before.
-  bool TurnsAway(SteadyTime now) const { return Leaves() || now < standing_.paused_until; }
+  bool RejectsRequests(SteadyTime now) const { return IsLeaving() || now < standing_.paused_until; }
 
   /// Takes over what an answer of it says of itself, see ServerStanding::Take.
-  bool TakeStatement(const ServerStatement& statement, SteadyTime sent_at, SteadyTime now,
-                     bool from_run) {
+  bool ApplyStatement(const ServerStatement& statement, SteadyTime sent_at, SteadyTime now,
+                      bool from_run) {
     return standing_.Take(statement, sent_at, now, from_run);
   }
   const ServerStanding& standing() const { return standing_; }
   /// Another daemon has heard that the server names no limit any more.
   /// @param known_at what was heard here after that counts more.
-  void EndLimit(SteadyTime known_at) {
+  void ClearLimit(SteadyTime known_at) {
     if (standing_.limit_heard_at <= known_at) standing_.limit_per_second.reset();
   }
   /// All that the server takes from all daemons is taken until then.
-  void NoteAtLimit(SteadyTime until) { at_limit_until_ = until; }
+  void MarkAtLimit(SteadyTime until) { at_limit_until_ = until; }
   /// @return when a request may be sent again; in the past: now. For servers that are usable
   /// otherwise.
-  SteadyTime FreeAt() const {
+  SteadyTime NextSendTime() const {
     const bool limited = standing_.limit_per_second.has_value();
     return std::max(standing_.paused_until, limited ? at_limit_until_ : SteadyTime{});
   }
@@ -94,15 +96,15 @@
   void EndRequest() { --in_flight_; }
   std::uint32_t in_flight() const { return in_flight_; }
 
-  void NoteSuccess();
+  void RecordSuccess();
   /// An answer that says the request failed, though the server is reachable.
-  void NoteErrorAnswer();
+  void RecordErrorResponse();
   /// No answer, a reset, or no connection.
-  void NoteFailure(SteadyTime now);
+  void RecordFailure(SteadyTime now);
   /// No connection came up.
-  void NoteUnreachable(SteadyTime now);
+  void MarkUnreachable(SteadyTime now);
   /// It turned a request away because it is full.
-  void NoteFull(SteadyTime now);
+  void MarkFull(SteadyTime now);
   /// @return share of lately failed answers, 0 to 1.
   double error_share() const { return error_share_; }
 
@@ -113,9 +115,10 @@
   double ExpectedWaiting(SteadyTime now) const;
 
   /// Notes that the request's prompt was sent there.
-  void RememberPrompt(const ModelReference& model, const std::vector<PromptPart>& parts);
+  void RecordPrompt(const ModelReference& model, const std::vector<PromptPart>& parts);
   /// @return tokens of the longest run of leading parts that this daemon lately sent there.
-  double KeptTokens(const ModelReference& model, const std::vector<PromptPart>& parts) const;
+  double CachedPrefixTokens(const ModelReference& model,
+                            const std::vector<PromptPart>& parts) const;
 
  private:
   friend class ServerDirectory;  ///< Its index has to know what a note adds.
@@ -125,7 +128,7 @@
     bool held = true;
   };
   const NotedModel* FindNote(const ModelReference& model, SteadyTime now) const;
-  void NoteHeld(const ModelReference& model, SteadyTime now);
+  void RecordModelHeld(const ModelReference& model, SteadyTime now);
   bool InRecord(const ModelReference& model) const;
   void Note(const ModelReference& model, SteadyTime until, bool held, SteadyTime now);
 
@@ -163,12 +166,12 @@
   bool Put(ServerRecord record, SteadyTime now);
   void Remove(const std::string& id);
   /// Notes that the model or adapter stands there now; the record follows later.
-  void NoteHeld(const ServerPtr& server, const ModelReference& model, SteadyTime now);
+  void RecordModelHeld(const ServerPtr& server, const ModelReference& model, SteadyTime now);
   ServerPtr Find(const std::string& id) const;
-  const Servers& Of(const std::string& service) const;
+  const Servers& ServersOf(const std::string& service) const;
   /// @return the service's servers whose records or notes name the model, and some whose notes have
   /// lapsed: whether one holds it is asked of the server.
-  const Servers& Holding(const std::string& service, const std::string& model) const;
+  const Servers& ServersWithModel(const std::string& service, const std::string& model) const;
   const ById& all() const { return by_id_; }
 
  private:
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -81,8 +81,8 @@
   const ServerPtr known = view_.servers.Find(record.id);
   const Departed* departed = known == nullptr ? FindDeparted(record) : nullptr;
   const bool left_before = departed != nullptr && departed->leaving;
-  const bool leaves =
-      known != nullptr && known->SaysItLeaves() && !IsLaterLife(record.life, known->record().life);
+  const bool leaves = known != nullptr && known->ReportsLeaving() &&
+                      !IsLaterLife(record.life, known->record().life);
   if (!leaves && !left_before) return;
   record.draining = true;
   ++metrics_.leaving_kept;
@@ -145,7 +145,7 @@
   std::erase_if(departed_,
                 [&](const auto& departed) { return now - departed.second.at >= kDepartedKept; });
   if (departed_.size() >= kMostDeparted) departed_.erase(departed_.begin());
-  departed_[record.id] = {record.life, server.SaysItLeaves(), server.standing(), now};
+  departed_[record.id] = {record.life, server.ReportsLeaving(), server.standing(), now};
 }
 
 void ServerEntries::RemoveLater(const std::string& id) {
--- a/src/gateway/server_statements.cc
+++ b/src/gateway/server_statements.cc
@@ -7,7 +7,7 @@
 void ServerStatements::Hear(Server& server, const ServerAnswer& answer) {
   const bool limited_before = server.standing().limit_per_second.has_value();
   const ServerStatement statement = protocol_.ReadStatement(answer.headers, answer.status);
-  if (!server.TakeStatement(statement, answer.sent_at, BootClock::now(), answer.from_run)) return;
+  if (!server.ApplyStatement(statement, answer.sent_at, BootClock::now(), answer.from_run)) return;
   ++metrics_.server_statements;
   const ServerStanding& standing = server.standing();
   EventLine line(LogEvent::kServerStates);
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -75,7 +75,7 @@
     return true;
   }
   ++figures_.denied;
-  server.NoteAtLimit(now + kOwnTurnPause);
+  server.MarkAtLimit(now + kOwnTurnPause);
   return false;
 }
 
@@ -86,7 +86,7 @@
   if (!answer) co_return TakeOwnTurn(*server);
   const auto now = BootClock::now();
   if (answer->verdict == PermitVerdict::kUnlimited) {
-    server->EndLimit(Time(microseconds(question.asked_at_us)));
+    server->ClearLimit(Time(microseconds(question.asked_at_us)));
     co_return true;
   }
   const bool granted = answer->verdict == PermitVerdict::kGranted;
@@ -96,7 +96,7 @@
   const microseconds wait = std::clamp(microseconds(answer->wait_us), least, longest);
   if (!granted) {
     ++figures_.denied;
-    server->NoteAtLimit(now + wait);
+    server->MarkAtLimit(now + wait);
     co_return false;
   }
   ++figures_.granted;
--- a/src/server_limits/permit_service.h
+++ b/src/server_limits/permit_service.h
@@ -35,7 +35,7 @@
 
   /// @param patience how long the request may wait for its turn.
   /// @return whether a request may be sent to the server at once. If not, the server knows when
-  /// another may be (Server::NoteAtLimit).
+  /// another may be (Server::MarkAtLimit).
   Awaitable<bool> Acquire(ServerPtr server, std::chrono::milliseconds patience);
   /// The server names no limit any more: others need not ask for it.
   void TellUnlimited(const Server& server);
--- a/test/emulator/server_emulator.cc
+++ b/test/emulator/server_emulator.cc
@@ -199,7 +199,7 @@
   const ModelReference model = ParseModelReference(FindHeader(request.headers, "X-Model"));
   const std::vector<PromptPart> parts =
       ParsePromptParts(FindHeader(request.headers, "X-Prompt-Prefix"));
-  double tokens = -prompts_.KeptTokens(model, parts);
+  double tokens = -prompts_.CachedPrefixTokens(model, parts);
   for (const PromptPart& part : parts) tokens += part.tokens;
   prompts_.Remember(model, parts);
   co_await Sleep(milliseconds(static_cast<int>(tokens / options_.prompt_tokens_per_ms)));
--- a/test/gateway/request_pipeline_test.cc
+++ b/test/gateway/request_pipeline_test.cc
@@ -388,7 +388,7 @@
   while (!waiting) fixture.OnThread([&] { waiting = fixture.view().demand.Waiting() > 0; });
   fixture.OnThread([&] {
     ServerDirectory& servers = fixture.view().servers;
-    servers.NoteHeld(servers.Find("i-1"), {"m", "a1"}, BootClock::now());
+    servers.RecordModelHeld(servers.Find("i-1"), {"m", "a1"}, BootClock::now());
     fixture.view().changed.NotifyAll();
   });
   CHECK(answer.get().ends_with("loaded"));
--- a/test/gateway/server_choice_test.cc
+++ b/test/gateway/server_choice_test.cc
@@ -46,13 +46,13 @@
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(5)) == "near");  // Old news.
   }
   SECTION("failures") {
-    directory.Find("near")->NoteFailure(kNow);
+    directory.Find("near")->RecordFailure(kNow);
     CHECK(Chosen(directory, MakeRequest()) == "far");
-    for (int answer = 0; answer < 30; ++answer) directory.Find("near")->NoteSuccess();
+    for (int answer = 0; answer < 30; ++answer) directory.Find("near")->RecordSuccess();
     CHECK(Chosen(directory, MakeRequest()) == "near");
   }
   SECTION("error answers while its health is good") {
-    for (int answer = 0; answer < 5; ++answer) directory.Find("near")->NoteErrorAnswer();
+    for (int answer = 0; answer < 5; ++answer) directory.Find("near")->RecordErrorResponse();
     CHECK(Chosen(directory, MakeRequest()) == "far");
   }
 }
@@ -68,16 +68,16 @@
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(60)).empty());
   }
   SECTION("gone") {
-    only->NoteGone();
+    only->MarkGone();
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(60)).empty());
   }
   SECTION("full, for a moment") {
-    only->NoteFull(kNow);
+    only->MarkFull(kNow);
     CHECK(Chosen(directory, MakeRequest()).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(1)) == "only");
   }
   SECTION("out of reach, longer each time") {
-    for (int failure = 0; failure < 4; ++failure) only->NoteUnreachable(kNow);
+    for (int failure = 0; failure < 4; ++failure) only->MarkUnreachable(kNow);
     CHECK(Chosen(directory, MakeRequest(), kNow + milliseconds(1'500)).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(4)) == "only");
   }
@@ -96,14 +96,14 @@
   CHECK(Chosen(directory, MakeRequest("m/a2")).empty());
   CHECK(ChooseServer(directory, MakeRequest("n"), kNow).reason == NoServerReason::kModelNotHeld);
   SECTION("a notice comes before the record") {
-    directory.NoteHeld(server, {"m", "a2"}, kNow);
+    directory.RecordModelHeld(server, {"m", "a2"}, kNow);
     CHECK(Chosen(directory, MakeRequest("m/a2")) == "i");
     CHECK(Chosen(directory, MakeRequest("m/a2"), kNow + seconds(30)).empty());
   }
   SECTION("an unload of the model hides its adapters, too") {
     // Found on a calm day: requests for adapters were sent to a server that was unloading their
     // model.
-    server->NoteMissing({"m", ""}, kNow, milliseconds(5'000));
+    server->RecordModelMissing({"m", ""}, kNow, milliseconds(5'000));
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + milliseconds(4'900)).empty());
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + seconds(6)) == "i");
   }
@@ -120,10 +120,10 @@
     ServerDirectory fresh;
     fresh.Put(MakeRecord("i"), kNow);
     fresh.Put(MakeRecord("j"), kNow);
-    fresh.Find(id)->RememberPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
+    fresh.Find(id)->RecordPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
     CHECK(Chosen(fresh, request) == id);
     request.model.adapter = "a1";  // Another adapter's memory does not serve.
-    CHECK(fresh.Find(id)->KeptTokens(request.model, request.parts) == 0);
+    CHECK(fresh.Find(id)->CachedPrefixTokens(request.model, request.parts) == 0);
     request.model.adapter.clear();
   }
   // Daemons that know nothing agree.
@@ -136,11 +136,11 @@
 TEST_CASE("Kept prompts are bounded, the oldest are forgotten") {
   RecentPrompts prompts;
   prompts.Remember({"m", ""}, {{"first", 100}});
-  CHECK(prompts.KeptTokens({"m", ""}, {{"first", 100}}) == 100);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"first", 100}}) == 100);
   for (int prompt = 0; prompt < 1000; ++prompt)
     prompts.Remember({"m", ""}, {{std::to_string(prompt), 1}});
-  CHECK(prompts.KeptTokens({"m", ""}, {{"first", 100}}) == 0);
-  CHECK(prompts.KeptTokens({"m", ""}, {{"999", 1}}) == 1);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"first", 100}}) == 0);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"999", 1}}) == 1);
 }
 
 /// @return how many of so many daemons, which know the same, choose each server.
@@ -179,18 +179,18 @@
     directory.Put(record, kNow);
   }
   const std::string service = directory.Find("i-0")->record().service;
-  CHECK(directory.Holding(service, "m7").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 2);
   ServerRecord moved = directory.Find("i-7")->record();
   moved.models = {{"m8", {}}, {"m9", {}}};
   directory.Put(moved, kNow);
-  CHECK(directory.Holding(service, "m7").size() == 1);
-  CHECK(directory.Holding(service, "m8").size() == 3);
-  directory.NoteHeld(directory.Find("i-7"), {"m7", "a1"}, kNow);
-  CHECK(directory.Holding(service, "m7").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 1);
+  CHECK(directory.ServersWithModel(service, "m8").size() == 3);
+  directory.RecordModelHeld(directory.Find("i-7"), {"m7", "a1"}, kNow);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 2);
   directory.Remove("i-7");
-  CHECK(directory.Holding(service, "m7").size() == 1);
-  CHECK(directory.Holding(service, "m9").size() == 2);
-  CHECK(directory.Holding(service, "m7").front()->record().id == "i-57");
+  CHECK(directory.ServersWithModel(service, "m7").size() == 1);
+  CHECK(directory.ServersWithModel(service, "m9").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").front()->record().id == "i-57");
 }
 
 }  // namespace
--- a/test/gateway/stated_leaving_test.cc
+++ b/test/gateway/stated_leaving_test.cc
@@ -51,7 +51,7 @@
   REQUIRE(fixture.RunUntil([&] { return find() != nullptr; }));
   ServerStatement statement;
   statement.leaving = true;
-  find()->TakeStatement(statement, BootClock::now(), BootClock::now(), true);
+  find()->ApplyStatement(statement, BootClock::now(), BootClock::now(), true);
   CHECK_FALSE(find()->Usable(BootClock::now()));
   fixture.PutServer("i-1");
   fixture.RunUntil([] { return false; }, milliseconds(100));
--- a/test/server_limits/server_standing_test.cc
+++ b/test/server_limits/server_standing_test.cc
@@ -42,7 +42,7 @@
 TEST_CASE("What a server has said outlives new entries of the same life, and ends with it") {
   ServerDirectory directory;
   directory.Put(Record(7), kStart);
-  directory.Find("i-1")->TakeStatement(Limit(1), kStart, kStart, true);
+  directory.Find("i-1")->ApplyStatement(Limit(1), kStart, kStart, true);
   directory.Put(Record(7), kStart + milliseconds(400));
   CHECK(directory.Find("i-1")->standing().limit_per_second == 1.0);
   ServerRecord moved = Record(7);
