--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -304,7 +304,7 @@
                                     SteadyTime sent_at) {
   const ServerPtr server = view_.servers.Find(id);
   if (server == nullptr || response.status == kMisdirectedStatus) return;
-  statements_.Hear(*server, {response.status, response.headers, sent_at, false});
+  statements_.Record(*server, {response.status, response.headers, sent_at, false});
 }
 
 Awaitable<std::optional<ServerStatus>> FleetController::ReadReport(const std::string& id,
--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -32,7 +32,7 @@
   std::chrono::milliseconds staleness_bound{2'000};
   /// Nothing says that the store is out of reach: its last read was answered, and no request has
   /// waited in vain for one since.
-  bool store_answers = false;
+  bool store_reachable = false;
   AsyncSignal changed;        ///< Notified when a waiting request may find a server now.
   AsyncSignal demand_raised;  ///< Notified when a request begins to wait for a server.
   AsyncSignal refreshed;      ///< Notified when the store was read, or could not be.
@@ -53,10 +53,10 @@
   /// or waited for the processor, finds requests in its sockets before it has read what changed
   /// meanwhile.
   /// @return whether a request is to wait for the read of the store that is due or under way.
-  bool AwaitsRead(SteadyTime now) const {
+  bool ShouldAwaitRead(SteadyTime now) const {
     const bool configuration_old = configuration_readable && !ConfigurationCurrent(now);
     const bool old = configuration_old || now - servers_current_at >= staleness_bound;
-    return routes != nullptr && store_answers && old;
+    return routes != nullptr && store_reachable && old;
   }
 };
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -169,8 +169,8 @@
   return !instance.empty() && instance != server.record().id;
 }
 
-void Forwarder::NoteStatement(const ServerAnswer& answer, Server& server) const {
-  if (!AnswersForOther(answer.headers, answer.status, server)) statements_.Hear(server, answer);
+void Forwarder::NoteStatement(const ServerResponse& answer, Server& server) const {
+  if (!AnswersForOther(answer.headers, answer.status, server)) statements_.Record(server, answer);
 }
 
 /// What one request is refused for is not believed of the server, unless the server says it of
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -45,7 +45,7 @@
   /// @return whether another server has answered, which has this one's address now.
   bool AnswersForOther(const HttpHeaders& headers, unsigned status, const Server& server) const;
   /// Takes over what an answer of this server says of it.
-  void NoteStatement(const ServerAnswer& answer, Server& server) const;
+  void NoteStatement(const ServerResponse& answer, Server& server) const;
   static std::chrono::milliseconds LongestRest(const GatewayRequest& request);
   void NoteUnanswered(const UpstreamConnection& upstream);
   void GiveBack(const GatewayRequest& request, const Server& server);
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -207,18 +207,18 @@
   readiness_->Start();
   if (figures_) figures_->Start();
   channel_.Start();
-  store_view_.Follow(quarantine_record_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       TakeQuarantineRecord(entry, revision);
-                     });
-  store_view_.Follow(sharing_record_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       TakeSharingRecord(entry, revision);
-                     });
-  store_view_.Follow(relays_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       relays_.TakeRecord(entry, revision);
-                     });
+  store_view_.Subscribe(quarantine_record_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          TakeQuarantineRecord(entry, revision);
+                        });
+  store_view_.Subscribe(sharing_record_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          TakeSharingRecord(entry, revision);
+                        });
+  store_view_.Subscribe(relays_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          relays_.TakeRecord(entry, revision);
+                        });
   quota_.Start();
   statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
   // A start under the same id is the end of the process before.
--- a/src/gateway/own_keys.h
+++ b/src/gateway/internal_keys.h
@@ -11,19 +11,19 @@
 namespace moorfold {
 
 /// The keys of moorfold's own in the store, and who hears of each. One thread.
-class OwnKeys {
+class InternalKeys {
  public:
   /// Hears of the key's newest state, or that it is gone, in the order of revisions.
   using Handler = std::function<void(const std::optional<KeyValue>& entry, StoreRevision revision)>;
 
-  void Follow(std::string key, Handler changed) {
+  void Subscribe(std::string key, Handler changed) {
     keys_.push_back({std::move(key), std::move(changed), {}});
   }
   bool Contains(const std::string& key) const { return Find(key) != nullptr; }
   /// @return whether all of them stand before `key` in the order of keys.
   bool AllBefore(const std::string& key) const {
     return std::all_of(keys_.begin(), keys_.end(),
-                       [&](const Followed& own) { return own.key < key; });
+                       [&](const Subscription& own) { return own.key < key; });
   }
   /// The store shows the key so. Nothing where a state as new was shown before.
   void Take(const KeyValue& entry);
@@ -32,20 +32,20 @@
   /// All keys that `listed` does not hold are gone.
   template <typename Keys>
   void RemoveMissing(const Keys& listed, StoreRevision revision) {
-    for (Followed& own : keys_)
+    for (Subscription& own : keys_)
       if (!listed.contains(own.key)) TakeRemoval(own.key, revision);
   }
 
  private:
-  struct Followed {
+  struct Subscription {
     std::string key;
     Handler changed;
     StoreRevision revision;  ///< Of the state that its reader heard of last.
   };
-  const Followed* Find(const std::string& key) const;
-  Followed* Find(const std::string& key);
+  const Subscription* Find(const std::string& key) const;
+  Subscription* Find(const std::string& key);
 
-  std::vector<Followed> keys_;
+  std::vector<Subscription> keys_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -160,15 +160,17 @@
 
 Awaitable<void> RequestPipeline::AwaitRead(const GatewayRequest& request) {
   const SteadyTime began = BootClock::now();
-  if (!view_.AwaitsRead(began)) co_return;
+  if (!view_.ShouldAwaitRead(began)) co_return;
   ++metrics_.waits_for_read;
   const auto longest = std::chrono::duration_cast<milliseconds>(
       std::min(view_.configuration_bound, view_.staleness_bound) * kBoundShareForRead);
   const SteadyTime until = began + longest;
-  while (view_.AwaitsRead(BootClock::now()) && BootClock::now() < until && !request.client_left)
+  while (view_.ShouldAwaitRead(BootClock::now()) && BootClock::now() < until &&
+         !request.client_left)
     co_await view_.refreshed.Wait(until);
   // The store is silent. Others do not wait for it as well, until it has answered once more.
-  if (view_.AwaitsRead(BootClock::now()) && !request.client_left) view_.store_answers = false;
+  if (view_.ShouldAwaitRead(BootClock::now()) && !request.client_left)
+    view_.store_reachable = false;
 }
 
 Awaitable<ServerPtr> RequestPipeline::AwaitServer(GatewayRequest& request) {
--- a/src/gateway/server_statements.cc
+++ b/src/gateway/server_statements.cc
@@ -4,7 +4,7 @@
 
 namespace moorfold {
 
-void ServerStatements::Hear(Server& server, const ServerAnswer& answer) {
+void ServerStatements::Record(Server& server, const ServerResponse& answer) {
   const bool limited_before = server.standing().limit_per_second.has_value();
   const ServerStatement statement = protocol_.ReadStatement(answer.headers, answer.status);
   if (!server.ApplyStatement(statement, answer.sent_at, BootClock::now(), answer.from_run)) return;
--- a/src/gateway/server_statements.h
+++ b/src/gateway/server_statements.h
@@ -12,7 +12,7 @@
 namespace moorfold {
 
 /// One answer of a server, as far as it tells of the server itself.
-struct ServerAnswer {
+struct ServerResponse {
   unsigned status = 0;
   const HttpHeaders& headers;
   SteadyTime sent_at{};   ///< When its request was sent.
@@ -31,7 +31,7 @@
   /// Hears of servers that name no limit any more.
   void OnLimitEnded(Handler handler) { limit_ended_ = std::move(handler); }
 
-  void Hear(Server& server, const ServerAnswer& answer);
+  void Record(Server& server, const ServerResponse& answer);
 
  private:
   const FleetProtocol& protocol_;
--- a/src/gateway/servers_page.cc
+++ b/src/gateway/servers_page.cc
@@ -4,7 +4,7 @@
 
 namespace moorfold {
 
-void FillPage(ServersPage& page, const ServerDirectory& servers) {
+void FillServersPage(ServersPage& page, const ServerDirectory& servers) {
   page.last = page.after;
   std::size_t bytes = 0;
   const ServerDirectory::ById& all = servers.all();
--- a/src/gateway/servers_page.h
+++ b/src/gateway/servers_page.h
@@ -6,6 +6,6 @@
 namespace moorfold {
 
 /// Fills in the servers after `page.after`, as many as a datagram carries.
-void FillPage(ServersPage& page, const ServerDirectory& servers);
+void FillServersPage(ServersPage& page, const ServerDirectory& servers);
 
 }  // namespace moorfold
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -55,9 +55,9 @@
       read_timer_(context),
       retry_pause_(kFirstRetryPause) {}
 
-void StoreView::Start(std::string own_key, OwnKeys::Handler own_key_changed,
+void StoreView::Start(std::string own_key, InternalKeys::Handler own_key_changed,
                       ConfigurationHandler configured) {
-  Follow(std::move(own_key), std::move(own_key_changed));
+  Subscribe(std::move(own_key), std::move(own_key_changed));
   configured_ = std::move(configured);
   Read();
 }
@@ -177,7 +177,7 @@
 bool StoreView::HoldsAllButServers(const RangeResult& page) const {
   const std::string& prefix = protocol_.layout().server_prefix;
   const bool servers_last =
-      protocol_.layout().configuration_key < prefix && own_keys_.AllBefore(prefix);
+      protocol_.layout().configuration_key < prefix && internal_keys_.AllBefore(prefix);
   return servers_last && !page.entries.empty() && page.entries.back().key.starts_with(prefix);
 }
 
@@ -212,7 +212,7 @@
     listed.insert(entry.key);
     TakeEntry(entry);
   }
-  own_keys_.RemoveMissing(listed, listing.revision);
+  internal_keys_.RemoveMissing(listed, listing.revision);
   const bool shown = listed.contains(protocol_.layout().configuration_key);
   if (Version() >= 0 && !shown) NoteConfigurationUnsure();
 }
@@ -340,7 +340,7 @@
 
 void StoreView::TakeEntry(const KeyValue& entry) {
   // Readers of moorfold's own keys decide by themselves what follows from a record without sense.
-  if (!entry.readable && !own_keys_.Contains(entry.key)) {
+  if (!entry.readable && !internal_keys_.Contains(entry.key)) {
     TakeUnreadable(entry, "its value is no text in base 64, or it has no revision");
     return;
   }
@@ -357,14 +357,14 @@
   else if (entry.key.starts_with(protocol_.layout().server_prefix))
     TakeServer(entry);
   else
-    own_keys_.Take(entry);
+    internal_keys_.Take(entry);
 }
 
 void StoreView::TakeUnreadable(const KeyValue& entry, const std::string& problem) {
   const std::string& prefix = protocol_.layout().server_prefix;
   const bool configuration = entry.key == protocol_.layout().configuration_key;
   const bool server = entry.key.starts_with(prefix);
-  if (!configuration && !server && !own_keys_.Contains(entry.key)) return;
+  if (!configuration && !server && !internal_keys_.Contains(entry.key)) return;
   // Listings show an entry again and again: it is told of once.
   const bool told = configuration && configuration_unsure_since_ &&
                     entry.mod_revision == configuration_entry_revision_;
@@ -428,7 +428,7 @@
   if (key.starts_with(prefix))
     servers_.TakeRemoval(key.substr(prefix.size()), revision);
   else
-    own_keys_.TakeRemoval(key, revision);
+    internal_keys_.TakeRemoval(key, revision);
 }
 
 void StoreView::NoteContact(SteadyTime current_at) {
@@ -445,7 +445,7 @@
             .Field(LogField::kProblem, last_problem_));
   in_touch_ = true;
   contacted_ = true;
-  view_.store_answers = true;
+  view_.store_reachable = true;
   failed_reads_ = 0;
   last_problem_.clear();
   last_contact_ = std::max(last_contact_, current_at);
@@ -467,7 +467,7 @@
 
 void StoreView::NoteFailure(const PlatformFailure& failure) {
   watch_.reset();
-  view_.store_answers = false;
+  view_.store_reachable = false;
   view_.refreshed.NotifyAll();
   ++failed_reads_;
   last_problem_ = failure.message;
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -11,7 +11,7 @@
 #include "common/event_log.h"
 #include "gateway/fleet_view.h"
 #include "gateway/gateway_metrics.h"
-#include "gateway/own_keys.h"
+#include "gateway/internal_keys.h"
 #include "gateway/server_entries.h"
 #include "ports/fleet_protocol.h"
 #include "ports/key_value_store.h"
@@ -36,12 +36,12 @@
             FleetView& view, GatewayMetrics& metrics, EventLog& log, follow::Settings settings);
 
   /// @param own_key the key of moorfold's own that `own_key_changed` hears of.
-  void Start(std::string own_key, OwnKeys::Handler own_key_changed,
+  void Start(std::string own_key, InternalKeys::Handler own_key_changed,
              ConfigurationHandler configured);
 
   /// One more of moorfold's own keys. Before Start.
-  void Follow(std::string own_key, OwnKeys::Handler changed) {
-    own_keys_.Follow(std::move(own_key), std::move(changed));
+  void Subscribe(std::string own_key, InternalKeys::Handler changed) {
+    internal_keys_.Subscribe(std::move(own_key), std::move(changed));
   }
 
   /// Before Start.
@@ -155,7 +155,7 @@
   FleetView& view_;
   GatewayMetrics& metrics_;
   EventLog& log_;
-  OwnKeys own_keys_;
+  InternalKeys internal_keys_;
   ChangeLog changes_;
   ServerEntries servers_;
   ConfigurationHandler configured_;
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -66,7 +66,7 @@
   page.after = question.after;
   page.relays = Serves();
   if (!page.relays) return page;
-  FillPage(page, view_.servers);
+  FillServersPage(page, view_.servers);
   page.revision = state_.revision;
   const SteadyTime current_at = std::min(state_.current_at, view_.configuration_current_at);
   page.age_us = Microseconds(BootClock::now() - current_at);
