--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -414,7 +414,7 @@
         settings_.relay_from_daemons > 0 && Daemons() >= settings_.relay_from_daemons;
     store_view_.SetWatching((election_.leading() && large) || relays_.Watches());
     relays_.Tick();
-    store_view_.NoteEra(store_.era());
+    store_view_.ObserveEra(store_.era());
     KeepQuarantine();
     ShareQuotas();
     pipeline_.Sweep();
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -136,7 +136,7 @@
 }
 
 void Gateway::AskForChanges(DemandReport& report) {
-  report.question = store_view_.Question();
+  report.question = store_view_.MakeChangeQuestion();
   if (!report.question) return;
   asked_at_us_.push_back(report.question->asked_at_us);
   if (asked_at_us_.size() > kQuestionsOpen) asked_at_us_.pop_front();
@@ -169,7 +169,7 @@
   ChangeAnswer answer;
   if (election_.leading() || relays_.IsRelay()) {
     const std::uint32_t daemons = election_.leading() ? Daemons() : relays_.plan().daemons;
-    answer = store_view_.Answer(question, daemons, report.relay_plan.has_value());
+    answer = store_view_.MakeChangeAnswer(question, daemons, report.relay_plan.has_value());
     answer.leader = LeaderAddress();
   } else {
     answer.asked_at_us = question.asked_at_us;
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -55,9 +55,9 @@
     if (plan_.number > 0) view_.SetRelays(false);
     return;
   }
-  sources_.SetPatient(view_.WaitsForServers());
+  sources_.SetPatient(view_.AwaitsServers());
   const Time now = BootClock::now();
-  sources_.NoteOwnReads(!view_.StoreInTouch(), now);
+  sources_.NoteOwnReads(!view_.StoreReachable(), now);
   watches_ = sources_.Watches(now);
   view_.SetServing(IsRelay());
   view_.SetWatching(watches_ || ports_.leads());
@@ -144,7 +144,7 @@
 
 void RelayService::AnswerServersQuestion(const ServersQuestion& question, const std::string& from) {
   ++metrics_.servers_pages_sent;
-  ports_.send(from, view_.Page(question));
+  ports_.send(from, view_.MakeServersPage(question));
 }
 
 bool RelayService::FromRelay(const std::string& from) {
@@ -155,7 +155,7 @@
 
 void RelayService::TakeServersPage(const ServersPage& page, const std::string& from) {
   if (!FromRelay(from)) return;
-  switch (view_.TakePage(page, from)) {
+  switch (view_.ApplyServersPage(page, from)) {
     case SnapshotReader::Taken::kIgnored:
       return;
     case SnapshotReader::Taken::kDeclined:
@@ -172,12 +172,13 @@
 
 void RelayService::AnswerConfigurationQuestion(const ConfigurationQuestion& question,
                                                const std::string& from) {
-  if (const std::optional<ConfigurationPart> part = view_.Part(question)) ports_.send(from, *part);
+  if (const std::optional<ConfigurationPart> part = view_.MakeConfigurationPart(question))
+    ports_.send(from, *part);
 }
 
 void RelayService::TakeConfigurationPart(const ConfigurationPart& part, const std::string& from) {
   if (!FromRelay(from)) return;
-  view_.TakePart(part);
+  view_.ApplyConfigurationPart(part);
   Pull();
 }
 
@@ -186,13 +187,13 @@
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
-  if (const std::optional<ServersQuestion> servers = view_.ServersQuestionDue()) {
+  if (const std::optional<ServersQuestion> servers = view_.NextServersQuestion()) {
     sources_.Asked(now);
     ports_.send(relay, *servers);
   }
-  if (const std::optional<ConfigurationQuestion> text = view_.ConfigurationQuestionDue())
+  if (const std::optional<ConfigurationQuestion> text = view_.NextConfigurationQuestion())
     ports_.send(relay, *text);
-  if (!view_.PullsServers() && !view_.PullsConfiguration()) return;
+  if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
   pull_timer_.expires_after(kPullAgain);
   pull_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Pull();
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -75,7 +75,7 @@
   DescribeAges();
 }
 
-void StoreView::NoteEra(std::int64_t era) {
+void StoreView::ObserveEra(std::int64_t era) {
   Decide(follow::EraTold{era});
   ReadWhenDue();
 }
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -50,12 +50,13 @@
   /// Whether other daemons follow this one: it reads the store more often then.
   void SetWatching(bool watches);
   /// @return what to ask the watcher, once the store was listed.
-  std::optional<ChangeQuestion> Question() const;
+  std::optional<ChangeQuestion> MakeChangeQuestion() const;
   /// @param daemons in the fleet, as far as known. @pre this daemon watches.
   /// @param parts whether the asker takes parts of what has changed.
-  ChangeAnswer Answer(const ChangeQuestion& question, std::uint32_t daemons, bool parts) const;
+  ChangeAnswer MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
+                                bool parts) const;
   /// Some other call of the store, or another daemon, has told of this era.
-  void NoteEra(std::int64_t era);
+  void ObserveEra(std::int64_t era);
   /// Takes over what a watcher has answered.
   void TakeAnswer(const ChangeAnswer& answer);
 
@@ -64,29 +65,30 @@
   /// Whether there are relays for this daemon to ask; nothing is known of that before.
   void SetRelays(bool named);
   /// @return whether the store holds more servers than one page, and none are known of yet.
-  bool WaitsForServers() const { return state_.begun && !state_.listed; }
+  bool AwaitsServers() const { return state_.begun && !state_.listed; }
   /// @return the question to a relay that is to be sent now, where all servers are to be taken from
   /// one.
-  std::optional<ServersQuestion> ServersQuestionDue();
+  std::optional<ServersQuestion> NextServersQuestion();
   /// @return whether the last read of the store was answered, or none has been.
-  bool StoreInTouch() const { return failed_reads_ == 0; }
+  bool StoreReachable() const { return failed_reads_ == 0; }
   /// @return the question to a relay for a part of the configuration, where it is to be taken from
   /// one.
-  std::optional<ConfigurationQuestion> ConfigurationQuestionDue();
+  std::optional<ConfigurationQuestion> NextConfigurationQuestion();
   /// @return that part; nothing where this daemon holds no such configuration.
-  std::optional<ConfigurationPart> Part(const ConfigurationQuestion& question) const;
+  std::optional<ConfigurationPart> MakeConfigurationPart(
+      const ConfigurationQuestion& question) const;
   /// Takes over what a relay has answered.
-  void TakePart(const ConfigurationPart& part);
+  void ApplyConfigurationPart(const ConfigurationPart& part);
   /// @return whether parts of a configuration are asked for.
-  bool PullsConfiguration() const { return configuration_reader_.running(); }
+  bool FetchesConfiguration() const { return configuration_reader_.running(); }
   /// @return whether pages of a relay are asked for.
-  bool PullsServers() const { return snapshot_.running(); }
+  bool FetchesServers() const { return snapshot_.running(); }
   /// @return the page asked for, of what this daemon knows.
-  ServersPage Page(const ServersQuestion& question) const;
+  ServersPage MakeServersPage(const ServersQuestion& question) const;
   /// Takes over what a relay has answered.
   /// @param from "IP:PORT" of the relay.
   /// @return whether it was a page that was asked for.
-  SnapshotReader::Taken TakePage(const ServersPage& page, const std::string& from);
+  SnapshotReader::Taken ApplyServersPage(const ServersPage& page, const std::string& from);
 
  private:
   using Milliseconds = std::chrono::milliseconds;
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-std::optional<ChangeQuestion> StoreView::Question() const {
+std::optional<ChangeQuestion> StoreView::MakeChangeQuestion() const {
   if (!state_.listed) return std::nullopt;
   return ChangeQuestion{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
 }
 
-ChangeAnswer StoreView::Answer(const ChangeQuestion& question, std::uint32_t daemons,
-                               bool parts) const {
+ChangeAnswer StoreView::MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
+                                         bool parts) const {
   ChangeAnswer answer;
   answer.asked_at_us = question.asked_at_us;
   answer.daemons = daemons;
@@ -53,14 +53,14 @@
   ReadWhenDue();
 }
 
-std::optional<ServersQuestion> StoreView::ServersQuestionDue() {
+std::optional<ServersQuestion> StoreView::NextServersQuestion() {
   const bool wanted = follow::WantsServers(state_);
   if (!wanted) snapshot_.Stop();
   if (wanted && !snapshot_.running()) snapshot_.Begin();
   return snapshot_.Due(BootClock::now());
 }
 
-ServersPage StoreView::Page(const ServersQuestion& question) const {
+ServersPage StoreView::MakeServersPage(const ServersQuestion& question) const {
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
   page.after = question.after;
@@ -74,7 +74,8 @@
   return page;
 }
 
-SnapshotReader::Taken StoreView::TakePage(const ServersPage& page, const std::string& from) {
+SnapshotReader::Taken StoreView::ApplyServersPage(const ServersPage& page,
+                                                  const std::string& from) {
   using Taken = SnapshotReader::Taken;
   const Taken taken = snapshot_.Take(page, from);
   if (taken == Taken::kIgnored || taken == Taken::kDeclined) return taken;
@@ -100,7 +101,7 @@
   return taken;
 }
 
-std::optional<ConfigurationQuestion> StoreView::ConfigurationQuestionDue() {
+std::optional<ConfigurationQuestion> StoreView::NextConfigurationQuestion() {
   if (follow::WantsConfiguration(state_) && told_version_ > Version())
     configuration_reader_.Want(told_version_);
   else
@@ -108,12 +109,13 @@
   return configuration_reader_.Due(BootClock::now());
 }
 
-std::optional<ConfigurationPart> StoreView::Part(const ConfigurationQuestion& question) const {
+std::optional<ConfigurationPart> StoreView::MakeConfigurationPart(
+    const ConfigurationQuestion& question) const {
   if (question.version != Version()) return std::nullopt;
   return PartOf(configuration_text_, configuration_entry_revision_, question);
 }
 
-void StoreView::TakePart(const ConfigurationPart& part) {
+void StoreView::ApplyConfigurationPart(const ConfigurationPart& part) {
   const std::optional<ConfigurationReader::Text> text = configuration_reader_.Take(part);
   if (!text) return;
   KeyValue entry;
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -119,7 +119,7 @@
   fixture.table.RestoreFrom(copy);
   // The numbers pass what the daemon knows before it reads again.
   for (int change = 0; change < 30; ++change) fixture.PutServer("i-2", "draining");
-  fixture.store_view.NoteEra(fixture.table.era());
+  fixture.store_view.ObserveEra(fixture.table.era());
   CHECK(fixture.RunUntil([&] { return !fixture.Usable("i-2"); }, milliseconds(2'000)));
 }
 
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -81,9 +81,9 @@
   /// One question and its answer.
   /// @param parts whether the follower takes parts of what has changed.
   ChangeAnswer Exchange(bool parts = false) {
-    const std::optional<ChangeQuestion> question = follower.store_view.Question();
+    const std::optional<ChangeQuestion> question = follower.store_view.MakeChangeQuestion();
     REQUIRE(question);
-    ChangeAnswer answer = watcher.store_view.Answer(*question, 20, parts);
+    ChangeAnswer answer = watcher.store_view.MakeChangeAnswer(*question, 20, parts);
     follower.store_view.TakeAnswer(answer);
     return answer;
   }
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -33,7 +33,7 @@
     ports.broadcast = [this](const FleetMessage& message) { sent.emplace_back("all", message); };
     ports.ask = [this] {
       DemandReport report;
-      report.question = member.store_view.Question();
+      report.question = member.store_view.MakeChangeQuestion();
       return report;
     };
     ports.leads = [this] { return leads; };
@@ -68,26 +68,26 @@
 TEST_CASE("The first relay of a zone watches the store and answers, until no relay is needed") {
   ServiceFixture fixture;
   const ServersQuestion question{1, ""};
-  CHECK_FALSE(fixture.member.store_view.Page(question).relays);
+  CHECK_FALSE(fixture.member.store_view.MakeServersPage(question).relays);
   fixture.service.TakePlan(ServiceFixture::Plan(1, {kSelf, kOther}));
   CHECK(fixture.service.Watches());
   CHECK_FALSE(fixture.service.Asks());
-  CHECK(fixture.member.store_view.Page(question).relays);
+  CHECK(fixture.member.store_view.MakeServersPage(question).relays);
   fixture.service.TakePlan(ServiceFixture::Plan(2, {}));
   CHECK_FALSE(fixture.service.Watches());
   fixture.member.store_view.SetWatching(false);
-  CHECK_FALSE(fixture.member.store_view.Page(question).relays);
+  CHECK_FALSE(fixture.member.store_view.MakeServersPage(question).relays);
 }
 
 TEST_CASE("Another relay asks the first, and serves what it hears; a daemon only asks") {
   ServiceFixture fixture;
   SECTION("relay") {
     fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kSelf}));
-    CHECK(fixture.member.store_view.Page({1, ""}).relays);
+    CHECK(fixture.member.store_view.MakeServersPage({1, ""}).relays);
   }
   SECTION("daemon") {
     fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kLeader}));
-    CHECK_FALSE(fixture.member.store_view.Page({1, ""}).relays);
+    CHECK_FALSE(fixture.member.store_view.MakeServersPage({1, ""}).relays);
   }
   CHECK(fixture.service.Asks());
   fixture.service.Ask();
@@ -142,7 +142,7 @@
   ClockJump clock;
   const auto knows_server = [&] { return fixture.member.Record("i-2") != nullptr; };
   fixture.service.NoteFleetSize(kLargeFleet);
-  REQUIRE(fixture.member.store_view.WaitsForServers());
+  REQUIRE(fixture.member.store_view.AwaitsServers());
   clock.Sleep(kMostOfTheWait);
   fixture.service.Tick();
   fixture.context.run_for(milliseconds(300));
@@ -155,7 +155,7 @@
     fixture.context.run_one_for(milliseconds(10));
   CHECK(knows_server());
   fixture.service.NoteFleetSize(kLargeFleet);
-  CHECK_FALSE(fixture.member.store_view.WaitsForServers());
+  CHECK_FALSE(fixture.member.store_view.AwaitsServers());
 }
 
 }  // namespace
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -78,11 +78,11 @@
   RelayFixture fixture;
   fixture.watcher.store.EndWatch();
   fixture.watcher.store.unreachable = true;
-  const std::optional<ChangeQuestion> early = fixture.follower.store_view.Question();
+  const std::optional<ChangeQuestion> early = fixture.follower.store_view.MakeChangeQuestion();
   REQUIRE(early);
   ChangeQuestion before_all = *early;
   before_all.revision = {fixture.table.era(), 0};
-  const ChangeAnswer answer = fixture.watcher.store_view.Answer(before_all, 20, false);
+  const ChangeAnswer answer = fixture.watcher.store_view.MakeChangeAnswer(before_all, 20, false);
   CHECK(answer.gap);
   CHECK(answer.servers.empty());
   fixture.PutServer("i-2", "ready", "");
@@ -93,7 +93,7 @@
 TEST_CASE("A sender that leads no more makes a follower look for the next leader") {
   RelayFixture fixture;
   ChangeAnswer answer;
-  answer.asked_at_us = fixture.follower.store_view.Question()->asked_at_us;
+  answer.asked_at_us = fixture.follower.store_view.MakeChangeQuestion()->asked_at_us;
   answer.leads = false;
   fixture.PutServer("i-2", "ready", "");
   fixture.follower.store_view.TakeAnswer(answer);
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -44,18 +44,18 @@
   int TakeAllPages() {
     int pages = 0;
     while (const std::optional<ServersQuestion> question =
-               starting->store_view.ServersQuestionDue()) {
-      const ServersPage page = relay.store_view.Page(*question);
+               starting->store_view.NextServersQuestion()) {
+      const ServersPage page = relay.store_view.MakeServersPage(*question);
       CHECK(EncodeMessage(FleetMessage(page)).size() < 8'000);
-      starting->store_view.TakePage(page, "relay");
+      starting->store_view.ApplyServersPage(page, "relay");
       ++pages;
     }
     return pages;
   }
   ChangeAnswer Exchange() {
-    const std::optional<ChangeQuestion> question = starting->store_view.Question();
+    const std::optional<ChangeQuestion> question = starting->store_view.MakeChangeQuestion();
     REQUIRE(question);
-    ChangeAnswer answer = relay.store_view.Answer(*question, 1'000, true);
+    ChangeAnswer answer = relay.store_view.MakeChangeAnswer(*question, 1'000, true);
     starting->store_view.TakeAnswer(answer);
     return answer;
   }
@@ -86,13 +86,13 @@
 
 TEST_CASE("A configuration is in force though not one server was listed") {
   LargeFleet fleet;
-  CHECK(fleet.starting->store_view.WaitsForServers());
+  CHECK(fleet.starting->store_view.AwaitsServers());
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
   CHECK(fleet.starting->view.servers.all().empty());
   // Nobody has said where to ask, and nothing is asked of the store meanwhile.
   fleet.RunUntil([] { return false; }, milliseconds(200));
   CHECK(fleet.starting->store.listings() == 0);
-  CHECK_FALSE(fleet.starting->store_view.ServersQuestionDue());
+  CHECK_FALSE(fleet.starting->store_view.NextServersQuestion());
 }
 
 TEST_CASE("A fleet that has no relays is listed at once") {
@@ -105,18 +105,18 @@
 TEST_CASE("All servers come from a relay, and what changed meanwhile after them") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> first = fleet.starting->store_view.ServersQuestionDue();
+  const std::optional<ServersQuestion> first = fleet.starting->store_view.NextServersQuestion();
   REQUIRE(first);
-  const ServersPage page = fleet.relay.store_view.Page(*first);
+  const ServersPage page = fleet.relay.store_view.MakeServersPage(*first);
   REQUIRE(page.more);
-  fleet.starting->store_view.TakePage(page, "relay");
+  fleet.starting->store_view.ApplyServersPage(page, "relay");
   // Before and after the place that the pages have reached.
   fleet.Put(ServerName(0), "draining");
   fleet.Remove(ServerName(1));
   fleet.Remove(ServerName(398));
   fleet.Settle();
   CHECK(fleet.TakeAllPages() > 2);
-  CHECK_FALSE(fleet.starting->store_view.WaitsForServers());
+  CHECK_FALSE(fleet.starting->store_view.AwaitsServers());
   CHECK(fleet.starting->Record(ServerName(398)) == nullptr);
   fleet.Exchange();
   CHECK(fleet.starting->Record(ServerName(0))->draining);
@@ -128,13 +128,14 @@
 TEST_CASE("A relay that has not read the store itself gives nothing") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> question = fleet.starting->store_view.ServersQuestionDue();
+  const std::optional<ServersQuestion> question = fleet.starting->store_view.NextServersQuestion();
   REQUIRE(question);
   Member another(fleet.context, fleet.table, std::chrono::hours(1), kPageEntries);
-  const ServersPage page = another.store_view.Page(*question);
+  const ServersPage page = another.store_view.MakeServersPage(*question);
   CHECK_FALSE(page.relays);
-  CHECK(fleet.starting->store_view.TakePage(page, "relay") == SnapshotReader::Taken::kDeclined);
-  CHECK(fleet.starting->store_view.WaitsForServers());
+  CHECK(fleet.starting->store_view.ApplyServersPage(page, "relay") ==
+        SnapshotReader::Taken::kDeclined);
+  CHECK(fleet.starting->store_view.AwaitsServers());
 }
 
 TEST_CASE("More changes than a datagram carries come in parts, and count as known with the last") {
@@ -186,17 +187,18 @@
   fleet.Settle();
   fleet.Exchange();
   CHECK(fleet.starting->Version() == 3);
-  const auto question = fleet.starting->store_view.ConfigurationQuestionDue();
+  const auto question = fleet.starting->store_view.NextConfigurationQuestion();
   REQUIRE(question);
-  const std::optional<ConfigurationPart> part = fleet.relay.store_view.Part(*question);
+  const std::optional<ConfigurationPart> part =
+      fleet.relay.store_view.MakeConfigurationPart(*question);
   REQUIRE(part);
-  fleet.starting->store_view.TakePart(*part);
+  fleet.starting->store_view.ApplyConfigurationPart(*part);
   CHECK(fleet.starting->Version() == 9);
-  CHECK_FALSE(fleet.starting->store_view.ConfigurationQuestionDue());
+  CHECK_FALSE(fleet.starting->store_view.NextConfigurationQuestion());
   fleet.Exchange();
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
   // Of another version than its own a relay tells nothing.
-  CHECK_FALSE(fleet.relay.store_view.Part({8, 0}));
+  CHECK_FALSE(fleet.relay.store_view.MakeConfigurationPart({8, 0}));
 }
 
 TEST_CASE("A configuration that no relay gives is read from the store") {
