--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -129,7 +129,7 @@
                 },
                 [this](const RelayPlan& plan, const std::string& from) {
                   if (LeaderAddress() == from)
-                    relays_.TakePlan(plan);
+                    relays_.ApplyPlan(plan);
                   else
                     NoteDropped("a plan of relays that is not the leader's", from);
                 },
@@ -137,13 +137,13 @@
                   relays_.AnswerServersQuestion(question, from);
                 },
                 [this](const ServersPage& page, const std::string& from) {
-                  relays_.TakeServersPage(page, from);
+                  relays_.HandleServersPage(page, from);
                 },
                 [this](const ConfigurationQuestion& question, const std::string& from) {
                   relays_.AnswerConfigurationQuestion(question, from);
                 },
                 [this](const ConfigurationPart& part, const std::string& from) {
-                  relays_.TakeConfigurationPart(part, from);
+                  relays_.HandleConfigurationPart(part, from);
                 },
                 [this](const PermitQuestion& question, const std::string& from) {
                   permits_.Hear(question, from);
@@ -217,7 +217,7 @@
                         });
   store_view_.Subscribe(relays_.key(),
                         [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                          relays_.TakeRecord(entry, revision);
+                          relays_.ApplyRecord(entry, revision);
                         });
   quota_.Start();
   statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -107,7 +107,7 @@
 }
 
 std::string Gateway::LeaderAddress() const {
-  std::string told = relays_.Asks() ? relays_.LeaderTold() : std::string();
+  std::string told = relays_.UsesRelays() ? relays_.ReportedLeader() : std::string();
   if (!told.empty()) return told;
   return election_.leader() ? election_.leader()->address : std::string();
 }
@@ -120,7 +120,7 @@
     report.unreachable = UnreachableServers();
     if (election_.leading())
       controller_.AddReport(report);
-    else if (relays_.Asks())
+    else if (relays_.UsesRelays())
       ReportBesideRelays(report);
     else
       ReportToLeader(std::move(report));
@@ -151,7 +151,7 @@
     reported_ = now;
     channel_.SendReport(leader, report);
   }
-  if (AskNow(now)) relays_.Ask();
+  if (AskNow(now)) relays_.RequestChanges();
 }
 
 void Gateway::TakeReport(const DemandReport& report) {
@@ -194,7 +194,7 @@
 
 void Gateway::TakeAnswer(const ChangeAnswer& answer, const std::string& from) {
   const bool from_leader = LeaderAddress() == from;
-  const bool believed = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
+  const bool believed = relays_.UsesRelays() ? relays_.TakeAnswer(answer, from) : from_leader;
   if (!Expected(answer) || !believed || election_.leading()) {
     NoteDropped("an answer that was not asked for, or not there", from);
     return;
@@ -207,9 +207,9 @@
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
   quarantine_.Compare(answer.quarantine_digest, from);
   store_view_.TakeAnswer(answer);
-  if (!relays_.Asks()) return;
-  if (answer.partial) relays_.Ask();
-  relays_.Pull();
+  if (!relays_.UsesRelays()) return;
+  if (answer.partial) relays_.RequestChanges();
+  relays_.SendDueQuestions();
 }
 
 void Gateway::NoteUnread(const UnreadMessage& message) {
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -31,12 +31,12 @@
       sources_(settings_.address, ZoneIdOf(settings_.zone)),
       pull_timer_(context) {}
 
-void RelayService::TakeRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
+void RelayService::ApplyRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
   record_.Seen(entry, revision);
-  if (entry) TakePlan(DecodeMessage<RelayPlan>(entry->value));
+  if (entry) ApplyPlan(DecodeMessage<RelayPlan>(entry->value));
 }
 
-void RelayService::TakePlan(const RelayPlan& plan) {
+void RelayService::ApplyPlan(const RelayPlan& plan) {
   newest_number_ = std::max(newest_number_, plan.number);
   if (plan.number <= plan_.number) return;
   plan_ = plan;
@@ -62,7 +62,7 @@
   view_.SetServing(IsRelay());
   view_.SetWatching(watches_ || ports_.leads());
   view_.SetRelays(!watches_);
-  Pull();
+  SendDueQuestions();
 }
 
 void RelayService::NoteFleetSize(std::uint32_t daemons) {
@@ -96,7 +96,7 @@
   const bool outrun = plan_.number > 0 && newest_number_ > plan_.number;
   if (next.number == plan_.number && !outrun) return;
   next.number = std::max(next.number, newest_number_ + 1);
-  TakePlan(next);
+  ApplyPlan(next);
   ports_.broadcast(plan_);
 }
 
@@ -112,7 +112,7 @@
   Apply();
 }
 
-void RelayService::Ask() {
+void RelayService::RequestChanges() {
   Apply();
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
@@ -138,7 +138,7 @@
   return true;
 }
 
-std::string RelayService::LeaderTold() const {
+std::string RelayService::ReportedLeader() const {
   return BootClock::now() - leader_told_at_ < kLeaderTold ? leader_told_ : std::string();
 }
 
@@ -153,7 +153,7 @@
   return known;
 }
 
-void RelayService::TakeServersPage(const ServersPage& page, const std::string& from) {
+void RelayService::HandleServersPage(const ServersPage& page, const std::string& from) {
   if (!FromRelay(from)) return;
   switch (view_.ApplyServersPage(page, from)) {
     case SnapshotReader::Taken::kIgnored:
@@ -165,7 +165,7 @@
     case SnapshotReader::Taken::kWhole:
       ++metrics_.servers_pages_taken;
       sources_.Heard(from, std::chrono::microseconds(0), BootClock::now());
-      Pull();
+      SendDueQuestions();
       return;
   }
 }
@@ -176,14 +176,14 @@
     ports_.send(from, *part);
 }
 
-void RelayService::TakeConfigurationPart(const ConfigurationPart& part, const std::string& from) {
+void RelayService::HandleConfigurationPart(const ConfigurationPart& part, const std::string& from) {
   if (!FromRelay(from)) return;
   view_.ApplyConfigurationPart(part);
-  Pull();
+  SendDueQuestions();
 }
 
-void RelayService::Pull() {
-  if (!Asks()) return;
+void RelayService::SendDueQuestions() {
+  if (!UsesRelays()) return;
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
@@ -196,7 +196,7 @@
   if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
   pull_timer_.expires_after(kPullAgain);
   pull_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) Pull();
+    if (!error) SendDueQuestions();
   });
 }
 
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -44,37 +44,37 @@
   /// @return the store's key of the plan.
   const std::string& key() const { return record_.key(); }
   /// The store shows the plan so, or none.
-  void TakeRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
+  void ApplyRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
   /// A daemon has told of a plan.
-  void TakePlan(const RelayPlan& plan);
+  void ApplyPlan(const RelayPlan& plan);
   const RelayPlan& plan() const { return plan_; }
   /// @return whether other daemons ask this one.
   bool IsRelay() const { return plan_.Names(settings_.address); }
   /// @return whether this daemon watches the store for others.
   bool Watches() const { return watches_; }
   /// @return whether this daemon asks relays.
-  bool Asks() const { return plan_.needed() && !watches_ && !ports_.leads(); }
+  bool UsesRelays() const { return plan_.needed() && !watches_ && !ports_.leads(); }
 
   /// A daemon has reported to this one.
   void TakeReport(const DemandReport& report);
   /// The leader has told how many daemons there are. In a fleet that is to have relays their plan
   /// follows: until then, and while it may, servers are left to them.
   void NoteFleetSize(std::uint32_t daemons);
-  /// Asks the relay what has changed.
-  void Ask();
+  /// UsesRelays the relay what has changed.
+  void RequestChanges();
   /// A relay has answered that.
   /// @return whether it is one that may be believed.
   bool TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerServersQuestion(const ServersQuestion& question, const std::string& from);
-  void TakeServersPage(const ServersPage& page, const std::string& from);
+  void HandleServersPage(const ServersPage& page, const std::string& from);
   void AnswerConfigurationQuestion(const ConfigurationQuestion& question, const std::string& from);
-  void TakeConfigurationPart(const ConfigurationPart& part, const std::string& from);
-  /// Asks for what is to be taken from a relay and was not asked for, or was not answered.
-  void Pull();
+  void HandleConfigurationPart(const ConfigurationPart& part, const std::string& from);
+  /// UsesRelays for what is to be taken from a relay and was not asked for, or was not answered.
+  void SendDueQuestions();
   /// To be called a few times a second.
   void Tick();
   /// @return "IP:PORT" of the leader as a relay has told; empty: none has lately.
-  std::string LeaderTold() const;
+  std::string ReportedLeader() const;
 
  private:
   /// No plan has come: servers are read as in a fleet without relays.
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -69,11 +69,11 @@
   ServiceFixture fixture;
   const ServersQuestion question{1, ""};
   CHECK_FALSE(fixture.member.store_view.MakeServersPage(question).relays);
-  fixture.service.TakePlan(ServiceFixture::Plan(1, {kSelf, kOther}));
+  fixture.service.ApplyPlan(ServiceFixture::Plan(1, {kSelf, kOther}));
   CHECK(fixture.service.Watches());
-  CHECK_FALSE(fixture.service.Asks());
+  CHECK_FALSE(fixture.service.UsesRelays());
   CHECK(fixture.member.store_view.MakeServersPage(question).relays);
-  fixture.service.TakePlan(ServiceFixture::Plan(2, {}));
+  fixture.service.ApplyPlan(ServiceFixture::Plan(2, {}));
   CHECK_FALSE(fixture.service.Watches());
   fixture.member.store_view.SetWatching(false);
   CHECK_FALSE(fixture.member.store_view.MakeServersPage(question).relays);
@@ -82,31 +82,31 @@
 TEST_CASE("Another relay asks the first, and serves what it hears; a daemon only asks") {
   ServiceFixture fixture;
   SECTION("relay") {
-    fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kSelf}));
+    fixture.service.ApplyPlan(ServiceFixture::Plan(1, {kOther, kSelf}));
     CHECK(fixture.member.store_view.MakeServersPage({1, ""}).relays);
   }
   SECTION("daemon") {
-    fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kLeader}));
+    fixture.service.ApplyPlan(ServiceFixture::Plan(1, {kOther, kLeader}));
     CHECK_FALSE(fixture.member.store_view.MakeServersPage({1, ""}).relays);
   }
-  CHECK(fixture.service.Asks());
-  fixture.service.Ask();
+  CHECK(fixture.service.UsesRelays());
+  fixture.service.RequestChanges();
   CHECK(fixture.SentTo<DemandReport>().size() == 1);
 }
 
 TEST_CASE("What comes from a daemon that is not asked as a relay is dropped") {
   ServiceFixture fixture;
-  fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kLeader}));
-  fixture.service.TakeServersPage({}, "10.9.9.9:7000");
-  fixture.service.TakeConfigurationPart({}, "10.9.9.9:7000");
+  fixture.service.ApplyPlan(ServiceFixture::Plan(1, {kOther, kLeader}));
+  fixture.service.HandleServersPage({}, "10.9.9.9:7000");
+  fixture.service.HandleConfigurationPart({}, "10.9.9.9:7000");
   CHECK_FALSE(fixture.service.TakeAnswer({}, "10.9.9.9:7000"));
   CHECK(fixture.dropped.size() == 2);
 }
 
 TEST_CASE("An older plan changes nothing; a leader tells its plan to whoever knows another") {
   ServiceFixture fixture;
-  fixture.service.TakePlan(ServiceFixture::Plan(5, {kOther}));
-  fixture.service.TakePlan(ServiceFixture::Plan(4, {kSelf}));
+  fixture.service.ApplyPlan(ServiceFixture::Plan(5, {kOther}));
+  fixture.service.ApplyPlan(ServiceFixture::Plan(4, {kSelf}));
   CHECK(fixture.service.plan().number == 5);
   fixture.leads = true;
   DemandReport report;
@@ -123,11 +123,11 @@
   ServiceFixture fixture;
   KeyValue entry;
   entry.value = EncodeMessage(ServiceFixture::Plan(7, {kSelf, kOther}));
-  fixture.service.TakeRecord(entry, {0, 9});
+  fixture.service.ApplyRecord(entry, {0, 9});
   CHECK(fixture.service.plan().number == 7);
   CHECK(fixture.service.Watches());
   entry.value = "no plan";
-  CHECK_THROWS(fixture.service.TakeRecord(entry, {1, 10}));
+  CHECK_THROWS(fixture.service.ApplyRecord(entry, {1, 10}));
   CHECK(fixture.service.plan().number == 7);
 }
 
