--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -8,12 +8,12 @@
 
 constexpr double kPrefillTokensPerMs = 38;
 constexpr double kOtherZoneMs = 3;
-constexpr double kPermitMs = 10;  ///< ServersOf a server with a limit: its turns are asked for.
+constexpr double kPermitMs = 10;  ///< Of a server with a limit: its turns are asked for.
 constexpr double kSuspectMs = 2'000;
 constexpr double kErrorMs = 400;
 constexpr double kRunningModelRequestMs = 6;   ///< Each request in a batch slows the others.
 constexpr double kWaitingModelRequestMs = 60;  ///< Each waiting one is read before ours.
-constexpr double kPlainRequestMs = 20;  ///< ServersOf a request at a full server without models.
+constexpr double kPlainRequestMs = 20;         ///< Of a request at a full server without models.
 constexpr double kSpreadMs = 25;  ///< Daemons without knowledge of a prompt agree on a server.
 /// Daemons without prompts to keep each prefer servers of their own: where all take the first of
 /// equal cost, a large fleet sends everything to a few. Less than one more request costs.
@@ -97,13 +97,13 @@
 Choice ChooseServer(const ServerDirectory& directory, const ChoiceRequest& request,
                     SteadyTime now) {
   Choice best;
-  const bool known = !directory.ServersOf(request.service).empty();
+  const bool known = !directory.Of(request.service).empty();
   best.reason = known ? NoServerReason::kModelNotHeld : NoServerReason::kUnknownService;
   const bool of_model = !request.model.model.empty();
   int unlimited = 0;  ///< Usable servers that name no limit.
   for (const ServerPtr& server :
        of_model ? directory.ServersWithModel(request.service, request.model.model)
-                : directory.ServersOf(request.service)) {
+                : directory.Of(request.service)) {
     if (of_model && !server->Holds(request.model, now)) continue;
     if (Contains(request.excluded_versions, server->record().software_version)) {
       if (best.reason != NoServerReason::kAllUnusable) best.reason = NoServerReason::kQuarantined;
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -11,7 +11,7 @@
 constexpr std::chrono::milliseconds kShortestSuspicion{300};
 constexpr std::chrono::milliseconds kLongestSuspicion{3'000};
 constexpr std::chrono::milliseconds kStatedLoadLife{1'000};
-constexpr double kErrorWeight = 0.2;  ///< ServersOf the newest answer in the share of failures.
+constexpr double kErrorWeight = 0.2;  ///< Of the newest answer in the share of failures.
 
 bool Names(const ServerRecord& record, const std::string& model) {
   return std::any_of(record.models.begin(), record.models.end(),
@@ -216,7 +216,7 @@
   return found == by_id_.end() ? nullptr : found->second;
 }
 
-const ServerDirectory::Servers& ServerDirectory::ServersOf(const std::string& service) const {
+const ServerDirectory::Servers& ServerDirectory::Of(const std::string& service) const {
   static const Servers kNone;
   const auto found = by_service_.find(service);
   return found == by_service_.end() ? kNone : found->second.servers;
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -168,7 +168,7 @@
   /// Notes that the model or adapter stands there now; the record follows later.
   void RecordModelHeld(const ServerPtr& server, const ModelReference& model, SteadyTime now);
   ServerPtr Find(const std::string& id) const;
-  const Servers& ServersOf(const std::string& service) const;
+  const Servers& Of(const std::string& service) const;
   /// @return the service's servers whose records or notes name the model, and some whose notes have
   /// lapsed: whether one holds it is asked of the server.
   const Servers& ServersWithModel(const std::string& service, const std::string& model) const;
--- a/src/gateway/suspect_guard.cc
+++ b/src/gateway/suspect_guard.cc
@@ -12,7 +12,7 @@
 
 bool SuspectGuard::Quarantined(const GatewayRequest& request) const {
   if (!quarantine_.book().Known(request.fingerprint)) return false;
-  const std::vector<ServerPtr>& servers = view_.servers.ServersOf(request.service);
+  const std::vector<ServerPtr>& servers = view_.servers.Of(request.service);
   return !servers.empty() &&
          std::all_of(servers.begin(), servers.end(), [&](const ServerPtr& server) {
            return quarantine_.At(request.fingerprint, server->record().software_version) ==
@@ -25,7 +25,7 @@
 bool SuspectGuard::Limit(const GatewayRequest& request, ChoiceRequest& wanted) const {
   if (quarantine_.OnTrial(request.fingerprint)) return false;
   bool suspected = false;
-  for (const ServerPtr& server : view_.servers.ServersOf(request.service)) {
+  for (const ServerPtr& server : view_.servers.Of(request.service)) {
     const std::string& version = server->record().software_version;
     switch (quarantine_.At(request.fingerprint, version)) {
       case quarantine::Standing::kQuarantined:
