--- a/src/gateway/internal_keys.cc
+++ b/src/gateway/internal_keys.cc
@@ -5,27 +5,27 @@
 namespace moorfold {
 
 const InternalKeys::Subscription* InternalKeys::Find(const std::string& key) const {
-  const auto own = std::find_if(keys_.begin(), keys_.end(),
-                                [&](const Subscription& each) { return each.key == key; });
-  return own == keys_.end() ? nullptr : &*own;
+  const auto subscription = std::find_if(subscriptions_.begin(), subscriptions_.end(),
+                                         [&](const Subscription& each) { return each.key == key; });
+  return subscription == subscriptions_.end() ? nullptr : &*subscription;
 }
 
 InternalKeys::Subscription* InternalKeys::Find(const std::string& key) {
   return const_cast<Subscription*>(std::as_const(*this).Find(key));  // Of this object.
 }
 
-void InternalKeys::Take(const KeyValue& entry) {
-  Subscription* own = Find(entry.key);
-  if (own == nullptr || entry.mod_revision <= own->revision) return;
-  own->revision = entry.mod_revision;
-  own->changed(entry, entry.mod_revision);
+void InternalKeys::Apply(const KeyValue& entry) {
+  Subscription* subscription = Find(entry.key);
+  if (subscription == nullptr || entry.mod_revision <= subscription->revision) return;
+  subscription->revision = entry.mod_revision;
+  subscription->changed(entry, entry.mod_revision);
 }
 
-void InternalKeys::TakeRemoval(const std::string& key, StoreRevision revision) {
-  Subscription* own = Find(key);
-  if (own == nullptr || revision < own->revision) return;
-  own->revision = revision;
-  own->changed(std::nullopt, revision);
+void InternalKeys::ApplyRemoval(const std::string& key, StoreRevision revision) {
+  Subscription* subscription = Find(key);
+  if (subscription == nullptr || revision < subscription->revision) return;
+  subscription->revision = revision;
+  subscription->changed(std::nullopt, revision);
 }
 
 }  // namespace moorfold
--- a/src/gateway/internal_keys.h
+++ b/src/gateway/internal_keys.h
@@ -17,23 +17,23 @@
   using Handler = std::function<void(const std::optional<KeyValue>& entry, StoreRevision revision)>;
 
   void Subscribe(std::string key, Handler changed) {
-    keys_.push_back({std::move(key), std::move(changed), {}});
+    subscriptions_.push_back({std::move(key), std::move(changed), {}});
   }
   bool Contains(const std::string& key) const { return Find(key) != nullptr; }
   /// @return whether all of them stand before `key` in the order of keys.
   bool AllBefore(const std::string& key) const {
-    return std::all_of(keys_.begin(), keys_.end(),
-                       [&](const Subscription& own) { return own.key < key; });
+    return std::all_of(subscriptions_.begin(), subscriptions_.end(),
+                       [&](const Subscription& subscription) { return subscription.key < key; });
   }
   /// The store shows the key so. Nothing where a state as new was shown before.
-  void Take(const KeyValue& entry);
+  void Apply(const KeyValue& entry);
   /// The store shows no such key.
-  void TakeRemoval(const std::string& key, StoreRevision revision);
+  void ApplyRemoval(const std::string& key, StoreRevision revision);
   /// All keys that `listed` does not hold are gone.
   template <typename Keys>
   void RemoveMissing(const Keys& listed, StoreRevision revision) {
-    for (Subscription& own : keys_)
-      if (!listed.contains(own.key)) TakeRemoval(own.key, revision);
+    for (Subscription& subscription : subscriptions_)
+      if (!listed.contains(subscription.key)) ApplyRemoval(subscription.key, revision);
   }
 
  private:
@@ -45,7 +45,7 @@
   const Subscription* Find(const std::string& key) const;
   Subscription* Find(const std::string& key);
 
-  std::vector<Subscription> keys_;
+  std::vector<Subscription> subscriptions_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -10,11 +10,11 @@
 
 constexpr const char* kPlanKey = "moorfold/relays";
 /// Of a relay's word on who leads: several questions long.
-constexpr milliseconds kLeaderTold{3'000};
+constexpr milliseconds kReportedLeaderLifetime{3'000};
 /// A leader names relays within some seconds of its election, if it is of a build that knows any.
-constexpr milliseconds kPlanExpected{6'000};
+constexpr milliseconds kPlanTimeout{6'000};
 /// What was lost on its way is looked at so often: no sooner than it would be asked for again.
-constexpr milliseconds kPullAgain{160};
+constexpr milliseconds kRetryInterval{160};
 
 }  // namespace
 
@@ -29,7 +29,7 @@
       record_(store, log, kPlanKey, LogEvent::kRelayPlanNotStored),
       planner_(settings_.from_daemons),
       sources_(settings_.address, ZoneIdOf(settings_.zone)),
-      pull_timer_(context) {}
+      retry_timer_(context) {}
 
 void RelayService::ApplyRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
   record_.Seen(entry, revision);
@@ -37,7 +37,7 @@
 }
 
 void RelayService::ApplyPlan(const RelayPlan& plan) {
-  newest_number_ = std::max(newest_number_, plan.number);
+  newest_plan_number_ = std::max(newest_plan_number_, plan.number);
   if (plan.number <= plan_.number) return;
   plan_ = plan;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kRelayPlan)
@@ -72,10 +72,10 @@
   view_.SetRelays(true);
 }
 
-void RelayService::EndExpectation() {
-  if (plan_.number > 0 || !plan_expected_since_ || expectation_ended_) return;
-  if (BootClock::now() - *plan_expected_since_ < kPlanExpected) return;
-  expectation_ended_ = true;
+void RelayService::StopExpectingPlan() {
+  if (plan_.number > 0 || !plan_expected_since_ || plan_wait_ended_) return;
+  if (BootClock::now() - *plan_expected_since_ < kPlanTimeout) return;
+  plan_wait_ended_ = true;
   view_.SetRelays(false);
 }
 
@@ -85,7 +85,7 @@
                  report.relay_plan.has_value()},
                 BootClock::now());
   if (!report.relay_plan) return;
-  newest_number_ = std::max(newest_number_, *report.relay_plan);
+  newest_plan_number_ = std::max(newest_plan_number_, *report.relay_plan);
   if (plan_.number > 0 && *report.relay_plan != plan_.number) ports_.send(report.address, plan_);
 }
 
@@ -93,15 +93,15 @@
   if (leading_since_ == Time{}) leading_since_ = now;
   RelayPlan next = planner_.Plan(plan_, leading_since_, now);
   // Whoever knows a later plan, of a leader that this one never heard of, would not take this one.
-  const bool outrun = plan_.number > 0 && newest_number_ > plan_.number;
-  if (next.number == plan_.number && !outrun) return;
-  next.number = std::max(next.number, newest_number_ + 1);
+  const bool superseded = plan_.number > 0 && newest_plan_number_ > plan_.number;
+  if (next.number == plan_.number && !superseded) return;
+  next.number = std::max(next.number, newest_plan_number_ + 1);
   ApplyPlan(next);
   ports_.broadcast(plan_);
 }
 
 void RelayService::Tick() {
-  EndExpectation();
+  StopExpectingPlan();
   const Time now = BootClock::now();
   if (ports_.leads()) {
     MakePlan(now);
@@ -132,14 +132,15 @@
   }
   sources_.Heard(from, std::chrono::microseconds(answer.age_us), now);
   if (!answer.leader.empty()) {
-    leader_told_ = answer.leader;
-    leader_told_at_ = now;
+    reported_leader_ = answer.leader;
+    reported_leader_at_ = now;
   }
   return true;
 }
 
 std::string RelayService::ReportedLeader() const {
-  return BootClock::now() - leader_told_at_ < kLeaderTold ? leader_told_ : std::string();
+  return BootClock::now() - reported_leader_at_ < kReportedLeaderLifetime ? reported_leader_
+                                                                          : std::string();
 }
 
 void RelayService::AnswerServersQuestion(const ServersQuestion& question, const std::string& from) {
@@ -147,14 +148,14 @@
   ports_.send(from, view_.MakeServersPage(question));
 }
 
-bool RelayService::FromRelay(const std::string& from) {
+bool RelayService::AcceptFromRelay(const std::string& from) {
   const bool known = sources_.Contains(from);
   if (!known) ports_.dropped("an answer of a daemon that is not asked as a relay", from);
   return known;
 }
 
 void RelayService::HandleServersPage(const ServersPage& page, const std::string& from) {
-  if (!FromRelay(from)) return;
+  if (!AcceptFromRelay(from)) return;
   switch (view_.ApplyServersPage(page, from)) {
     case SnapshotReader::Taken::kIgnored:
       return;
@@ -177,7 +178,7 @@
 }
 
 void RelayService::HandleConfigurationPart(const ConfigurationPart& part, const std::string& from) {
-  if (!FromRelay(from)) return;
+  if (!AcceptFromRelay(from)) return;
   view_.ApplyConfigurationPart(part);
   SendDueQuestions();
 }
@@ -194,8 +195,8 @@
   if (const std::optional<ConfigurationQuestion> text = view_.NextConfigurationQuestion())
     ports_.send(relay, *text);
   if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
-  pull_timer_.expires_after(kPullAgain);
-  pull_timer_.async_wait([this](const boost::system::error_code& error) {
+  retry_timer_.expires_after(kRetryInterval);
+  retry_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) SendDueQuestions();
   });
 }
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -78,10 +78,10 @@
 
  private:
   /// No plan has come: servers are read as in a fleet without relays.
-  void EndExpectation();
+  void StopExpectingPlan();
   void MakePlan(Time now);
   /// @return whether that daemon is a relay that this one may ask; else the datagram is dropped.
-  bool FromRelay(const std::string& from);
+  bool AcceptFromRelay(const std::string& from);
   void Apply();
 
   StoreView& view_;
@@ -89,18 +89,18 @@
   EventLog& log_;
   RelaySettings settings_;
   std::optional<Time> plan_expected_since_;  ///< The fleet is large, as far as told.
-  bool expectation_ended_ = false;
+  bool plan_wait_ended_ = false;
   Ports ports_;
   KeptRecord<RelayPlan> record_;
   RelayPlan plan_;
   RelayPlanner planner_;
   RelaySources sources_;
-  bool watches_ = false;            ///< As `sources_` said last.
-  std::int64_t newest_number_ = 0;  ///< That any daemon has told of.
-  Time leading_since_{};            ///< Zero: this daemon does not lead.
-  std::string leader_told_;
-  Time leader_told_at_{};
-  BootTimer pull_timer_;
+  bool watches_ = false;                 ///< As `sources_` said last.
+  std::int64_t newest_plan_number_ = 0;  ///< That any daemon has told of.
+  Time leading_since_{};                 ///< Zero: this daemon does not lead.
+  std::string reported_leader_;
+  Time reported_leader_at_{};
+  BootTimer retry_timer_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kNoteLife{3'000};
-constexpr std::chrono::milliseconds kFullPause{100};
-constexpr std::chrono::milliseconds kShortestSuspicion{300};
-constexpr std::chrono::milliseconds kLongestSuspicion{3'000};
-constexpr std::chrono::milliseconds kStatedLoadLife{1'000};
+constexpr std::chrono::milliseconds kOverrideLifetime{3'000};
+constexpr std::chrono::milliseconds kFullDuration{100};
+constexpr std::chrono::milliseconds kMinSuspectDuration{300};
+constexpr std::chrono::milliseconds kMaxSuspectDuration{3'000};
+constexpr std::chrono::milliseconds kStatedLoadLifetime{1'000};
 constexpr double kErrorWeight = 0.2;  ///< Of the newest answer in the share of failures.
 
 bool Names(const ServerRecord& record, const std::string& model) {
@@ -39,7 +39,7 @@
     order_.push_back(hash);
     ++counts_[hash];
   }
-  while (order_.size() > kMostParts) {
+  while (order_.size() > kMaxParts) {
     const auto oldest = counts_.find(order_.front());
     if (--oldest->second == 0) counts_.erase(oldest);
     order_.pop_front();
@@ -59,13 +59,15 @@
 }
 
 void Server::Update(ServerRecord record, SteadyTime now) {
-  std::erase_if(notes_, [&](const NotedModel& note) { return note.until <= now; });
+  std::erase_if(overrides_,
+                [&](const ModelOverride& model_override) { return model_override.until <= now; });
   record_ = std::move(record);
 }
 
-const Server::NotedModel* Server::FindNote(const ModelReference& model, SteadyTime now) const {
-  for (const NotedModel& note : notes_)
-    if (note.model == model && note.until > now) return &note;
+const Server::ModelOverride* Server::FindOverride(const ModelReference& model,
+                                                  SteadyTime now) const {
+  for (const ModelOverride& model_override : overrides_)
+    if (model_override.model == model && model_override.until > now) return &model_override;
   return nullptr;
 }
 
@@ -76,25 +78,26 @@
 }
 
 bool Server::Holds(const ModelReference& model, SteadyTime now) const {
-  const NotedModel* base = FindNote({model.model, ""}, now);
+  const ModelOverride* base = FindOverride({model.model, ""}, now);
   if (base != nullptr && !base->held) return false;
-  if (const NotedModel* note = FindNote(model, now)) return note->held;
+  if (const ModelOverride* model_override = FindOverride(model, now)) return model_override->held;
   return InRecord(model);
 }
 
-void Server::Note(const ModelReference& model, SteadyTime until, bool held, SteadyTime now) {
-  std::erase_if(notes_,
-                [&](const NotedModel& note) { return note.until <= now || note.model == model; });
-  notes_.push_back({model, until, held});
+void Server::SetOverride(const ModelReference& model, SteadyTime until, bool held, SteadyTime now) {
+  std::erase_if(overrides_, [&](const ModelOverride& model_override) {
+    return model_override.until <= now || model_override.model == model;
+  });
+  overrides_.push_back({model, until, held});
 }
 
 void Server::RecordModelHeld(const ModelReference& model, SteadyTime now) {
-  Note(model, now + kNoteLife, true, now);
+  SetOverride(model, now + kOverrideLifetime, true, now);
 }
 
 void Server::RecordModelMissing(const ModelReference& model, SteadyTime now,
                                 std::chrono::milliseconds life) {
-  Note(model, now + life, false, now);
+  SetOverride(model, now + life, false, now);
 }
 
 bool Server::Usable(SteadyTime now) const {
@@ -111,11 +114,11 @@
 void Server::RecordErrorResponse() { error_share_ += (1 - error_share_) * kErrorWeight; }
 
 void Server::RecordFailure(SteadyTime now) {
-  constexpr std::uint32_t kMostDoublings = 4;
+  constexpr std::uint32_t kMaxDoublings = 4;
   RecordErrorResponse();
-  const auto length = kShortestSuspicion * (1U << std::min(failures_in_row_, kMostDoublings));
+  const auto length = kMinSuspectDuration * (1U << std::min(failures_in_row_, kMaxDoublings));
   ++failures_in_row_;
-  suspect_until_ = now + std::min<std::chrono::milliseconds>(length, kLongestSuspicion);
+  suspect_until_ = now + std::min<std::chrono::milliseconds>(length, kMaxSuspectDuration);
 }
 
 void Server::MarkUnreachable(SteadyTime now) {
@@ -123,7 +126,7 @@
   unreachable_until_ = suspect_until_;
 }
 
-void Server::MarkFull(SteadyTime now) { full_until_ = now + kFullPause; }
+void Server::MarkFull(SteadyTime now) { full_until_ = now + kFullDuration; }
 
 void Server::NoteLoad(std::uint32_t running, std::uint32_t waiting, SteadyTime now) {
   stated_running_ = running;
@@ -134,13 +137,13 @@
 
 double Server::ExpectedRequests(SteadyTime now) const {
   const double own = in_flight_;
-  if (now - stated_at_ > kStatedLoadLife) return own;
+  if (now - stated_at_ > kStatedLoadLifetime) return own;
   const double since = own - in_flight_when_stated_;
   return std::max(own, stated_running_ + stated_waiting_ + since);
 }
 
 double Server::ExpectedWaiting(SteadyTime now) const {
-  return now - stated_at_ > kStatedLoadLife ? 0 : stated_waiting_;
+  return now - stated_at_ > kStatedLoadLifetime ? 0 : stated_waiting_;
 }
 
 void Server::RecordPrompt(const ModelReference& model, const std::vector<PromptPart>& parts) {
@@ -155,7 +158,7 @@
 
 bool ServerDirectory::Put(ServerRecord record, SteadyTime now) {
   const auto found = by_id_.find(record.id);
-  ServerStanding said;
+  ServerStanding kept_standing;
   if (found != by_id_.end()) {
     const ServerPtr known = found->second;
     const ServerRecord& before = known->record();
@@ -165,11 +168,11 @@
       known->Update(std::move(record), now);
       return true;
     }
-    if (!IsLaterLife(record.life, before.life)) said = known->standing();
+    if (!IsLaterLife(record.life, before.life)) kept_standing = known->standing();
     Remove(before.id);
   }
   auto server = std::make_shared<Server>(std::move(record));
-  server->Restore(said);
+  server->Restore(kept_standing);
   by_id_[server->record().id] = server;
   by_service_[server->record().service].servers.push_back(server);
   for (const HeldModel& held : server->record().models) Index(server, held.name);
@@ -196,7 +199,7 @@
     if (!Names(before, held.name)) Index(server, held.name);
 }
 
-void ServerDirectory::Drop(const ServerPtr& server) {
+void ServerDirectory::Retire(const ServerPtr& server) {
   server->MarkGone();
   Service& service = by_service_[server->record().service];
   std::erase(service.servers, server);
@@ -207,7 +210,7 @@
 void ServerDirectory::Remove(const std::string& id) {
   const auto found = by_id_.find(id);
   if (found == by_id_.end()) return;
-  Drop(found->second);
+  Retire(found->second);
   by_id_.erase(found);
 }
 
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -28,7 +28,7 @@
                             const std::vector<PromptPart>& parts) const;
 
  private:
-  static constexpr std::size_t kMostParts = 192;
+  static constexpr std::size_t kMaxParts = 192;
   static std::uint64_t Hash(std::uint64_t before, const std::string& part);
   static std::uint64_t Start(const ModelReference& model);
 
@@ -122,18 +122,18 @@
 
  private:
   friend class ServerDirectory;  ///< Its index has to know what a note adds.
-  struct NotedModel {
+  struct ModelOverride {
     ModelReference model;
     SteadyTime until;
     bool held = true;
   };
-  const NotedModel* FindNote(const ModelReference& model, SteadyTime now) const;
+  const ModelOverride* FindOverride(const ModelReference& model, SteadyTime now) const;
   void RecordModelHeld(const ModelReference& model, SteadyTime now);
   bool InRecord(const ModelReference& model) const;
-  void Note(const ModelReference& model, SteadyTime until, bool held, SteadyTime now);
+  void SetOverride(const ModelReference& model, SteadyTime until, bool held, SteadyTime now);
 
   ServerRecord record_;
-  std::vector<NotedModel> notes_;
+  std::vector<ModelOverride> overrides_;
   ServerStanding standing_;
   bool gone_ = false;
   std::uint32_t in_flight_ = 0;
@@ -182,7 +182,7 @@
   void Index(const ServerPtr& server, const std::string& model);
   /// The server's next record names other models.
   void Reindex(const ServerPtr& server, const ServerRecord& next);
-  void Drop(const ServerPtr& server);
+  void Retire(const ServerPtr& server);
 
   ById by_id_;
   std::unordered_map<std::string, Service> by_service_;
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -10,15 +10,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kGrace{2'000};
+constexpr milliseconds kGracePeriod{2'000};
 /// Longer than a heartbeat, well below the bound within which no more may be sent to a lost server.
-constexpr milliseconds kRemovalGrace{1'400};
+constexpr milliseconds kRemovalDelay{1'400};
 /// Longer than three heartbeats, after which the store takes the entry of a silent server away.
-constexpr milliseconds kDoubt{5'000};
+constexpr milliseconds kRestoredEntryDelay{5'000};
 /// Copies are some seconds old: what went longer ago stands in none.
-constexpr std::chrono::seconds kDepartedKept{60};
+constexpr std::chrono::seconds kRemovedServerRetention{60};
 /// More than leave within that time where 2,400 servers are replaced within the hour.
-constexpr std::size_t kMostDeparted = 1'024;
+constexpr std::size_t kMaxRemovedServers = 1'024;
 
 }  // namespace
 
@@ -26,27 +26,27 @@
                              GatewayMetrics& metrics, EventLog& log, ChangeLog& changes)
     : view_(view), metrics_(metrics), log_(log), changes_(changes), timer_(context) {}
 
-void ServerEntries::BeginGrace() { grace_began_ = BootClock::now(); }
+void ServerEntries::BeginGracePeriod() { grace_began_ = BootClock::now(); }
 
-void ServerEntries::Put(ServerRecord record, StoreRevision revision, bool listed_from_copy) {
+void ServerEntries::Put(ServerRecord record, StoreRevision revision, bool from_restored_store) {
   if (IsEarlierLife(record, revision)) return;
-  if (listed_from_copy && Doubt(record, revision)) return;
-  doubted_.erase(record.id);
-  KeepLeaving(record, revision);
+  if (from_restored_store && DeferIfRestored(record, revision)) return;
+  deferred_.erase(record.id);
+  PreserveLeaving(record, revision);
   const ServerPtr known = view_.servers.Find(record.id);
   const bool restarted = known != nullptr && IsLaterLife(record.life, known->record().life);
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
-  const bool back = removals_.erase(record.id) > 0;
+  const bool back = pending_removals_.erase(record.id) > 0;
   if (known == nullptr || back || !SameForRequests(known->record(), record))
     changes_.Note(record.id, revision, false);
   const std::string id = record.id;
-  const Departed* departed = known == nullptr ? FindDeparted(record) : nullptr;
+  const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
   view_.servers.Put(std::move(record), BootClock::now());
-  if (departed != nullptr) view_.servers.Find(id)->Restore(departed->standing);
+  if (removed != nullptr) view_.servers.Find(id)->Restore(removed->standing);
   if (!restarted) return;
   ++metrics_.servers_restarted;
-  if (restarted_) restarted_(id);
+  if (restart_handler_) restart_handler_(id);
 }
 
 bool ServerEntries::IsEarlierLife(const ServerRecord& record, StoreRevision revision) {
@@ -61,29 +61,30 @@
   return true;
 }
 
-const ServerEntries::Departed* ServerEntries::FindDeparted(const ServerRecord& record) const {
-  const auto found = departed_.find(record.id);
-  if (found == departed_.end() || IsLaterLife(record.life, found->second.life)) return nullptr;
-  const bool kept = BootClock::now() - found->second.at < kDepartedKept;
+const ServerEntries::RemovedServer* ServerEntries::FindRemoved(const ServerRecord& record) const {
+  const auto found = removed_servers_.find(record.id);
+  if (found == removed_servers_.end() || IsLaterLife(record.life, found->second.life))
+    return nullptr;
+  const bool kept = BootClock::now() - found->second.at < kRemovedServerRetention;
   return kept ? &found->second : nullptr;
 }
 
-bool ServerEntries::Doubt(const ServerRecord& record, StoreRevision revision) {
-  if (view_.servers.Find(record.id) != nullptr || FindDeparted(record) == nullptr) return false;
-  doubted_[record.id] = {record, revision, BootClock::now() + kDoubt};
+bool ServerEntries::DeferIfRestored(const ServerRecord& record, StoreRevision revision) {
+  if (view_.servers.Find(record.id) != nullptr || FindRemoved(record) == nullptr) return false;
+  deferred_[record.id] = {record, revision, BootClock::now() + kRestoredEntryDelay};
   ++metrics_.entries_doubted;
-  ActWhenDue();
+  ScheduleTimer();
   return true;
 }
 
-void ServerEntries::KeepLeaving(ServerRecord& record, StoreRevision revision) {
+void ServerEntries::PreserveLeaving(ServerRecord& record, StoreRevision revision) {
   if (record.draining) return;
   const ServerPtr known = view_.servers.Find(record.id);
-  const Departed* departed = known == nullptr ? FindDeparted(record) : nullptr;
-  const bool left_before = departed != nullptr && departed->leaving;
+  const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
+  const bool left_before_removal = removed != nullptr && removed->leaving;
   const bool leaves = known != nullptr && known->ReportsLeaving() &&
                       !IsLaterLife(record.life, known->record().life);
-  if (!leaves && !left_before) return;
+  if (!leaves && !left_before_removal) return;
   record.draining = true;
   ++metrics_.leaving_kept;
   // Its entry may call it ready with each heartbeat until the store is back.
@@ -105,15 +106,15 @@
                  .Field(LogField::kRevision, ToString(revision)));
 }
 
-void ServerEntries::TakeRemoval(const std::string& id, StoreRevision revision) {
+void ServerEntries::ApplyRemoval(const std::string& id, StoreRevision revision) {
   changes_.Note(id, revision, true);
-  if (BootClock::now() - grace_began_ < kGrace)
-    RemoveLater(id);
+  if (BootClock::now() - grace_began_ < kGracePeriod)
+    ScheduleRemoval(id);
   else
     Remove(id, revision);
 }
 
-void ServerEntries::TakeUnreadable(const std::string& id, StoreRevision revision) {
+void ServerEntries::ApplyUnreadable(const std::string& id, StoreRevision revision) {
   changes_.Note(id, revision, true);
   Remove(id, revision);
 }
@@ -122,59 +123,61 @@
                                   StoreRevision revision) {
   std::vector<std::string> missing;
   for (const auto& [id, server] : view_.servers.all())
-    if (!listed.contains(id) && !removals_.contains(id)) missing.push_back(id);
-  for (const std::string& id : missing) TakeRemoval(id, revision);
-  std::erase_if(doubted_, [&](const auto& doubted) { return !listed.contains(doubted.first); });
+    if (!listed.contains(id) && !pending_removals_.contains(id)) missing.push_back(id);
+  for (const std::string& id : missing) ApplyRemoval(id, revision);
+  std::erase_if(deferred_, [&](const auto& deferred) { return !listed.contains(deferred.first); });
 }
 
 void ServerEntries::Remove(const std::string& id, StoreRevision revision) {
-  removals_.erase(id);
-  doubted_.erase(id);
+  pending_removals_.erase(id);
+  deferred_.erase(id);
   const ServerPtr known = view_.servers.Find(id);
   if (known == nullptr) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kServerGone)
                                      .Field(LogField::kServer, id)
                                      .Field(LogField::kRevision, ToString(revision)));
-  NoteDeparted(*known);
+  RecordRemoved(*known);
   view_.servers.Remove(id);
 }
 
-void ServerEntries::NoteDeparted(const Server& server) {
+void ServerEntries::RecordRemoved(const Server& server) {
   const ServerRecord& record = server.record();
   const SteadyTime now = BootClock::now();
-  std::erase_if(departed_,
-                [&](const auto& departed) { return now - departed.second.at >= kDepartedKept; });
-  if (departed_.size() >= kMostDeparted) departed_.erase(departed_.begin());
-  departed_[record.id] = {record.life, server.ReportsLeaving(), server.standing(), now};
+  std::erase_if(removed_servers_, [&](const auto& removed) {
+    return now - removed.second.at >= kRemovedServerRetention;
+  });
+  if (removed_servers_.size() >= kMaxRemovedServers)
+    removed_servers_.erase(removed_servers_.begin());
+  removed_servers_[record.id] = {record.life, server.ReportsLeaving(), server.standing(), now};
 }
 
-void ServerEntries::RemoveLater(const std::string& id) {
-  if (removals_.try_emplace(id, BootClock::now() + kRemovalGrace).second) ActWhenDue();
+void ServerEntries::ScheduleRemoval(const std::string& id) {
+  if (pending_removals_.try_emplace(id, BootClock::now() + kRemovalDelay).second) ScheduleTimer();
 }
 
-void ServerEntries::ActWhenDue() {
+void ServerEntries::ScheduleTimer() {
   SteadyTime earliest = SteadyTime::max();
-  for (const auto& [id, time] : removals_) earliest = std::min(earliest, time);
-  for (const auto& [id, doubted] : doubted_) earliest = std::min(earliest, doubted.until);
+  for (const auto& [id, time] : pending_removals_) earliest = std::min(earliest, time);
+  for (const auto& [id, deferred] : deferred_) earliest = std::min(earliest, deferred.until);
   if (earliest == SteadyTime::max()) return;
   timer_.expires_at(earliest);
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) ActOnDue();
+    if (!error) OnTimer();
   });
 }
 
-void ServerEntries::ActOnDue() {
+void ServerEntries::OnTimer() {
   const SteadyTime now = BootClock::now();
   std::vector<std::string> gone;
-  for (const auto& [id, time] : removals_)
+  for (const auto& [id, time] : pending_removals_)
     if (time <= now) gone.push_back(id);
   for (const std::string& id : gone) Remove(id, {});
-  std::vector<Doubted> believed;
-  for (const auto& [id, doubted] : doubted_)
-    if (doubted.until <= now) believed.push_back(doubted);
-  for (Doubted& doubted : believed) Put(std::move(doubted.record), doubted.revision);
-  if (!believed.empty()) view_.changed.NotifyAll();
-  ActWhenDue();
+  std::vector<DeferredEntry> due;
+  for (const auto& [id, deferred] : deferred_)
+    if (deferred.until <= now) due.push_back(deferred);
+  for (DeferredEntry& deferred : due) Put(std::move(deferred.record), deferred.revision);
+  if (!due.empty()) view_.changed.NotifyAll();
+  ScheduleTimer();
 }
 
 }  // namespace moorfold
--- a/src/gateway/server_entries.h
+++ b/src/gateway/server_entries.h
@@ -34,29 +34,30 @@
   ServerEntries(boost::asio::io_context& context, FleetView& view, GatewayMetrics& metrics,
                 EventLog& log, ChangeLog& changes);
 
-  void OnRestart(RestartHandler handler) { restarted_ = std::move(handler); }
+  void OnRestart(RestartHandler handler) { restart_handler_ = std::move(handler); }
 
   /// The store has this entry.
-  /// @param listed_from_copy it stands in the first listing of a store that came back from a copy.
-  void Put(ServerRecord record, StoreRevision revision, bool listed_from_copy = false);
+  /// @param from_restored_store it stands in the first listing of a store that came back from a
+  /// copy.
+  void Put(ServerRecord record, StoreRevision revision, bool from_restored_store = false);
   /// The entry is gone.
-  void TakeRemoval(const std::string& id, StoreRevision revision);
+  void ApplyRemoval(const std::string& id, StoreRevision revision);
   /// The entry names no server that could be used.
-  void TakeUnreadable(const std::string& id, StoreRevision revision);
+  void ApplyUnreadable(const std::string& id, StoreRevision revision);
   /// A listing as of `revision` holds these entries and no others.
   void RemoveMissing(const std::unordered_set<std::string>& listed, StoreRevision revision);
   /// From now on, and for a moment, entries may be missing of servers that live.
-  void BeginGrace();
+  void BeginGracePeriod();
 
  private:
-  struct Departed {
+  struct RemovedServer {
     std::int64_t life = 0;
     bool leaving = false;  ///< It had said so.
     ServerStanding standing;
     SteadyTime at{};
   };
   /// An entry of a copy that is not believed yet.
-  struct Doubted {
+  struct DeferredEntry {
     ServerRecord record;
     StoreRevision revision;
     SteadyTime until{};
@@ -64,26 +65,26 @@
 
   bool IsEarlierLife(const ServerRecord& record, StoreRevision revision);
   /// Takes what was known of the same life before into account.
-  void KeepLeaving(ServerRecord& record, StoreRevision revision);
-  bool Doubt(const ServerRecord& record, StoreRevision revision);
-  const Departed* FindDeparted(const ServerRecord& record) const;
+  void PreserveLeaving(ServerRecord& record, StoreRevision revision);
+  bool DeferIfRestored(const ServerRecord& record, StoreRevision revision);
+  const RemovedServer* FindRemoved(const ServerRecord& record) const;
   void Remove(const std::string& id, StoreRevision revision);
-  void RemoveLater(const std::string& id);
-  void NoteDeparted(const Server& server);
-  void ActWhenDue();
-  void ActOnDue();
+  void ScheduleRemoval(const std::string& id);
+  void RecordRemoved(const Server& server);
+  void ScheduleTimer();
+  void OnTimer();
   void LogServer(const ServerRecord& record, StoreRevision revision);
 
   FleetView& view_;
   GatewayMetrics& metrics_;
   EventLog& log_;
   ChangeLog& changes_;
-  RestartHandler restarted_;
+  RestartHandler restart_handler_;
   SteadyTime grace_began_{};
   /// Servers whose entries were missing in a time of grace, with the time of their removal.
-  std::map<std::string, SteadyTime> removals_;
-  std::map<std::string, Doubted> doubted_;
-  std::map<std::string, Departed> departed_;
+  std::map<std::string, SteadyTime> pending_removals_;
+  std::map<std::string, DeferredEntry> deferred_;
+  std::map<std::string, RemovedServer> removed_servers_;
   BootTimer timer_;
 };
 
--- a/src/gateway/server_statements.cc
+++ b/src/gateway/server_statements.cc
@@ -16,7 +16,8 @@
       .Field(LogField::kPauseMs, statement.pause.count());
   if (standing.limit_per_second) line.Field(LogField::kLimit, *standing.limit_per_second);
   log_.Write(LogRank::kDecision, line);
-  if (limited_before && !standing.limit_per_second && limit_ended_) limit_ended_(server);
+  if (limited_before && !standing.limit_per_second && limit_ended_handler_)
+    limit_ended_handler_(server);
 }
 
 }  // namespace moorfold
--- a/src/gateway/server_statements.h
+++ b/src/gateway/server_statements.h
@@ -29,7 +29,7 @@
       : protocol_(protocol), metrics_(metrics), log_(log) {}
 
   /// Hears of servers that name no limit any more.
-  void OnLimitEnded(Handler handler) { limit_ended_ = std::move(handler); }
+  void OnLimitEnded(Handler handler) { limit_ended_handler_ = std::move(handler); }
 
   void Record(Server& server, const ServerResponse& answer);
 
@@ -37,7 +37,7 @@
   const FleetProtocol& protocol_;
   GatewayMetrics& metrics_;
   EventLog& log_;
-  Handler limit_ended_;
+  Handler limit_ended_handler_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -11,9 +11,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kFirstRetryPause{100};
+constexpr milliseconds kInitialRetryDelay{100};
 /// Only a silence of that length can have let entries of living servers lapse.
-constexpr milliseconds kOutage{2'000};
+constexpr milliseconds kMinOutage{2'000};
 
 std::int64_t MillisecondsBetween(SteadyTime from, SteadyTime to) {
   return std::chrono::duration_cast<milliseconds>(to - from).count();
@@ -21,22 +21,22 @@
 
 /// Of the longest time between two reads: an answer that takes as long is worth a line. It is more
 /// than the store holds a read of changes without news.
-constexpr double kLateReadShare = 0.5;
+constexpr double kSlowReadFraction = 0.5;
 
 /// All keys: every key begins with the empty text.
 KeyRange AllKeys() { return {"", "\xff"}; }
 
 /// @return about how many bytes an entry takes in an answer.
-double BytesOf(const KeyValue& entry) {
-  constexpr double kNamesAndNumbers = 80;      ///< Of fields around key and value.
-  constexpr double kEncodedShare = 4.0 / 3.0;  ///< Values are bytes, sent as base64.
-  return kNamesAndNumbers + static_cast<double>(entry.key.size()) +
-         kEncodedShare * static_cast<double>(entry.value.size());
+double EncodedSize(const KeyValue& entry) {
+  constexpr double kFieldOverhead = 80;           ///< Of fields around key and value.
+  constexpr double kBase64Expansion = 4.0 / 3.0;  ///< Values are bytes, sent as base64.
+  return kFieldOverhead + static_cast<double>(entry.key.size()) +
+         kBase64Expansion * static_cast<double>(entry.value.size());
 }
 
-double BytesOf(const std::vector<KeyValue>& entries) {
+double EncodedSize(const std::vector<KeyValue>& entries) {
   double bytes = 0;
-  for (const KeyValue& entry : entries) bytes += BytesOf(entry);
+  for (const KeyValue& entry : entries) bytes += EncodedSize(entry);
   return bytes;
 }
 
@@ -53,56 +53,57 @@
       servers_(context, view, metrics, log, changes_),
       settings_(settings),
       read_timer_(context),
-      retry_pause_(kFirstRetryPause) {}
+      retry_delay_(kInitialRetryDelay) {}
 
 void StoreView::Start(std::string own_key, InternalKeys::Handler own_key_changed,
                       ConfigurationHandler configured) {
   Subscribe(std::move(own_key), std::move(own_key_changed));
-  configured_ = std::move(configured);
+  configuration_handler_ = std::move(configured);
   Read();
 }
 
-bool StoreView::Decide(const follow::Event& event) {
+bool StoreView::ApplyEvent(const follow::Event& event) {
   const follow::Decision decision = follow::Reduce(settings_, state_, event, BootClock::now());
   state_ = decision.state;
   metrics_.store_revision_known = state_.revision.number;
-  DescribeAges();
+  PublishAges();
   return decision.apply;
 }
 
-void StoreView::NoteConfigurationUnsure() {
-  if (!configuration_unsure_since_) configuration_unsure_since_ = state_.configuration_at;
-  DescribeAges();
+void StoreView::MarkConfigurationUncertain() {
+  if (!configuration_uncertain_since_) configuration_uncertain_since_ = state_.configuration_at;
+  PublishAges();
 }
 
 void StoreView::ObserveEra(std::int64_t era) {
-  Decide(follow::EraTold{era});
-  ReadWhenDue();
+  ApplyEvent(follow::EraTold{era});
+  ScheduleRead();
 }
 
-bool StoreView::IsOfEarlierEra(StoreRevision revision) {
+bool StoreView::RejectEarlierEra(StoreRevision revision) {
   if (revision.era >= state_.revision.era) return false;
-  NoteFailure({PlatformFault::kNoAnswer, "the answer is of an earlier era of the store"});
+  RecordReadFailure({PlatformFault::kNoAnswer, "the answer is of an earlier era of the store"});
   return true;
 }
 
-void StoreView::DescribeAges() {
-  const SteadyTime configuration_at = configuration_unsure_since_.value_or(state_.configuration_at);
+void StoreView::PublishAges() {
+  const SteadyTime configuration_at =
+      configuration_uncertain_since_.value_or(state_.configuration_at);
   const bool newer = view_.servers_current_at < state_.current_at ||
                      view_.configuration_current_at < configuration_at;
   view_.servers_current_at = state_.current_at;
   view_.configuration_current_at = configuration_at;
-  view_.configuration_readable = !configuration_unsure_since_;
+  view_.configuration_readable = !configuration_uncertain_since_;
   if (newer) view_.refreshed.NotifyAll();
 }
 
 void StoreView::SetWatching(bool watches) {
   if (watches == state_.watches) return;
-  Decide(follow::RoleTaken{watches});
-  ReadWhenDue();
+  ApplyEvent(follow::RoleTaken{watches});
+  ScheduleRead();
 }
 
-void StoreView::ReadWhenDue() {
+void StoreView::ScheduleRead() {
   const SteadyTime due = follow::NextRead(settings_, state_);
   if (due == SteadyTime::max()) return;
   read_timer_.expires_at(due);
@@ -114,16 +115,16 @@
 
 void StoreView::Read() {
   if (BootClock::now() < follow::NextRead(settings_, state_)) {
-    ReadWhenDue();
+    ScheduleRead();
     return;
   }
   const follow::ReadKind kind = follow::NextReadKind(settings_, state_, BootClock::now());
-  known_before_read_ = state_.revision;
-  Decide(follow::ReadBegun{kind});
+  revision_before_read_ = state_.revision;
+  ApplyEvent(follow::ReadBegun{kind});
   switch (kind) {
     case follow::ReadKind::kListing:
       if (state_.listed || state_.begun)
-        ReadRange(AllKeys(), &StoreView::TakeListing);
+        ReadRange(AllKeys(), &StoreView::ApplyListing);
       else
         ReadFirstPage();
       break;
@@ -131,104 +132,105 @@
       ReadChanges();
       break;
     case follow::ReadKind::kServers:
-      ReadRange(PrefixRange(protocol_.layout().server_prefix), &StoreView::TakeServers);
+      ReadRange(PrefixRange(protocol_.layout().server_prefix), &StoreView::ApplyServers);
       break;
     case follow::ReadKind::kConfiguration:
-      ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::TakeConfigurationRead);
+      ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::ApplyConfigurationRead);
       break;
     case follow::ReadKind::kToldConfiguration:
-      reading_version_ = told_version_;
-      ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::TakeConfigurationRead,
+      expected_version_ = announced_version_;
+      ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::ApplyConfigurationRead,
                 ReadConsistency::kPossiblyStale);
       break;
   }
 }
 
-KeyValueStore::Callback<RangeResult> StoreView::WhenRead(
+KeyValueStore::Callback<RangeResult> StoreView::MakeReadCallback(
     void (StoreView::*take)(const RangeResult&), ReadConsistency consistency) {
-  read_wanted_ = std::make_shared<ReadWanted>();
+  active_read_ = std::make_shared<ActiveRead>();
   return [this, take, consistency,
-          wanted = std::weak_ptr(read_wanted_)](const Outcome<RangeResult>& listing) {
+          wanted = std::weak_ptr(active_read_)](const Outcome<RangeResult>& listing) {
     if (wanted.expired()) return;
-    NoteReadTime();
+    RecordReadTime();
     if (!listing.ok()) {
-      NoteFailure(listing.failure());
+      RecordReadFailure(listing.failure());
       return;
     }
-    if (IsOfEarlierEra(listing.value().revision)) return;
-    NoteContact(BootClock::now());
-    if (consistency == ReadConsistency::kLinearizable) NoteRevisionRead(listing.value().revision);
+    if (RejectEarlierEra(listing.value().revision)) return;
+    RecordContact(BootClock::now());
+    if (consistency == ReadConsistency::kLinearizable) CheckRevisionRead(listing.value().revision);
     (this->*take)(listing.value());
-    ReadWhenDue();
+    ScheduleRead();
   };
 }
 
 void StoreView::ReadRange(KeyRange range, void (StoreView::*take)(const RangeResult&),
                           ReadConsistency consistency) {
-  KeyValueStore::Callback<RangeResult> read = WhenRead(take, consistency);
-  store_.RangeWhile([wanted = std::weak_ptr(read_wanted_)] { return !wanted.expired(); },
+  KeyValueStore::Callback<RangeResult> read = MakeReadCallback(take, consistency);
+  store_.RangeWhile([wanted = std::weak_ptr(active_read_)] { return !wanted.expired(); },
                     std::move(range), consistency, std::move(read));
 }
 
 void StoreView::ReadFirstPage() {
-  store_.RangePage(AllKeys(), WhenRead(&StoreView::TakeFirstPage, ReadConsistency::kLinearizable));
+  store_.RangePage(AllKeys(),
+                   MakeReadCallback(&StoreView::ApplyFirstPage, ReadConsistency::kLinearizable));
 }
 
-bool StoreView::HoldsAllButServers(const RangeResult& page) const {
+bool StoreView::OnlyServersFollow(const RangeResult& page) const {
   const std::string& prefix = protocol_.layout().server_prefix;
   const bool servers_last =
       protocol_.layout().configuration_key < prefix && internal_keys_.AllBefore(prefix);
   return servers_last && !page.entries.empty() && page.entries.back().key.starts_with(prefix);
 }
 
-void StoreView::TakeFirstPage(const RangeResult& page) {
+void StoreView::ApplyFirstPage(const RangeResult& page) {
   if (!page.more) {
-    TakeListing(page);
+    ApplyListing(page);
     return;
   }
-  if (!HoldsAllButServers(page)) {
-    ReadRange(AllKeys(), &StoreView::TakeListing);
+  if (!OnlyServersFollow(page)) {
+    ReadRange(AllKeys(), &StoreView::ApplyListing);
     return;
   }
-  TakeOtherEntries(page);
-  Decide(follow::FirstPageEnded{page.revision});
-  NoteChanged();
+  ApplyOtherEntries(page);
+  ApplyEvent(follow::FirstPageEnded{page.revision});
+  NotifyChanged();
 }
 
-void StoreView::TakeListing(const RangeResult& listing) {
-  const std::optional<double> change_bytes = ChangesReplacedBy(listing);
-  TakeServerEntries(listing);
-  TakeOtherEntries(listing);
-  Decide(follow::ReadEnded{listing.revision, BytesOf(listing.entries), change_bytes});
-  NoteSource(false);
-  NoteChanged();
+void StoreView::ApplyListing(const RangeResult& listing) {
+  const std::optional<double> change_bytes = EstimateChangeBytes(listing);
+  ApplyServerEntries(listing);
+  ApplyOtherEntries(listing);
+  ApplyEvent(follow::ReadEnded{listing.revision, EncodedSize(listing.entries), change_bytes});
+  LogSourceChange(false);
+  NotifyChanged();
 }
 
-void StoreView::TakeOtherEntries(const RangeResult& listing) {
+void StoreView::ApplyOtherEntries(const RangeResult& listing) {
   const std::string& prefix = protocol_.layout().server_prefix;
   std::unordered_set<std::string> listed;
   for (const KeyValue& entry : listing.entries) {
     if (entry.key.starts_with(prefix)) continue;
     listed.insert(entry.key);
-    TakeEntry(entry);
+    ApplyEntry(entry);
   }
   internal_keys_.RemoveMissing(listed, listing.revision);
   const bool shown = listed.contains(protocol_.layout().configuration_key);
-  if (Version() >= 0 && !shown) NoteConfigurationUnsure();
+  if (Version() >= 0 && !shown) MarkConfigurationUncertain();
 }
 
-void StoreView::TakeServers(const RangeResult& listing) {
-  TakeServerEntries(listing);
-  Decide(follow::ReadEnded{listing.revision, BytesOf(listing.entries), std::nullopt});
-  NoteSource(false);
-  NoteChanged();
+void StoreView::ApplyServers(const RangeResult& listing) {
+  ApplyServerEntries(listing);
+  ApplyEvent(follow::ReadEnded{listing.revision, EncodedSize(listing.entries), std::nullopt});
+  LogSourceChange(false);
+  NotifyChanged();
 }
 
-void StoreView::TakeServerEntries(const RangeResult& listing) {
+void StoreView::ApplyServerEntries(const RangeResult& listing) {
   const std::string& prefix = protocol_.layout().server_prefix;
   const StoreRevision known = state_.revision;
   listing_new_era_ = state_.listed && listing.revision.era > known.era;
-  if (listing_new_era_) servers_.BeginGrace();
+  if (listing_new_era_) servers_.BeginGracePeriod();
   if (state_.listed)
     changes_.NoteListing(known, listing.revision);
   else
@@ -238,26 +240,26 @@
     if (!entry.key.starts_with(prefix)) continue;
     listed.insert(entry.key.substr(prefix.size()));
     // Changes up to the revision known were taken over before.
-    if (!state_.listed || entry.mod_revision > known) TakeEntry(entry);
+    if (!state_.listed || entry.mod_revision > known) ApplyEntry(entry);
   }
   servers_.RemoveMissing(listed, listing.revision);
   listing_new_era_ = false;
 }
 
-void StoreView::TakeConfigurationRead(const RangeResult& listing) {
-  for (const KeyValue& entry : listing.entries) TakeEntry(entry);
-  follow::ReadEnded ended{listing.revision, BytesOf(listing.entries), std::nullopt};
+void StoreView::ApplyConfigurationRead(const RangeResult& listing) {
+  for (const KeyValue& entry : listing.entries) ApplyEntry(entry);
+  follow::ReadEnded ended{listing.revision, EncodedSize(listing.entries), std::nullopt};
   ended.outdated =
-      state_.reading == follow::ReadKind::kToldConfiguration && Version() < reading_version_;
+      state_.reading == follow::ReadKind::kToldConfiguration && Version() < expected_version_;
   if (ended.outdated) ++metrics_.outdated_reads;
-  Decide(ended);
+  ApplyEvent(ended);
 }
 
 std::int64_t StoreView::Version() const {
   return view_.routes ? view_.routes->configuration().version : -1;
 }
 
-std::optional<double> StoreView::ChangesReplacedBy(const RangeResult& listing) const {
+std::optional<double> StoreView::EstimateChangeBytes(const RangeResult& listing) const {
   if (listing.revision.era != state_.revision.era) return std::nullopt;
   const std::string& configuration = protocol_.layout().configuration_key;
   double bytes = 0;
@@ -267,7 +269,7 @@
     if (entry.key == configuration && entry.mod_revision != configuration_entry_revision_)
       return std::nullopt;
     if (entry.key == configuration) continue;
-    bytes += BytesOf(entry);
+    bytes += EncodedSize(entry);
     ++entries;
   }
   if (entries == 0) return 0;
@@ -279,56 +281,57 @@
 /// answer with each heartbeat of a server.
 void StoreView::ReadChanges() {
   watch_ = store_.Watch(
-      AllKeys(), state_.revision.Next(), [this](const WatchBatch& batch) { TakeBatch(batch); },
+      AllKeys(), state_.revision.Next(),
+      [this](const WatchBatch& batch) { ApplyWatchBatch(batch); },
       [this](const PlatformFailure& failure) {
-        NoteReadTime();
-        NoteFailure(failure);
+        RecordReadTime();
+        RecordReadFailure(failure);
       });
 }
 
-void StoreView::TakeBatch(const WatchBatch& batch) {
+void StoreView::ApplyWatchBatch(const WatchBatch& batch) {
   watch_.reset();
-  NoteReadTime();
-  if (IsOfEarlierEra(batch.revision)) return;
-  NoteContact(BootClock::now());
-  NoteRevisionRead(batch.revision);
+  RecordReadTime();
+  if (RejectEarlierEra(batch.revision)) return;
+  RecordContact(BootClock::now());
+  CheckRevisionRead(batch.revision);
   const StoreRevision known = state_.revision;
   const std::string& prefix = protocol_.layout().server_prefix;
   double bytes = 0;
   for (const WatchEvent& event : batch.events) {
-    bytes += BytesOf(event.entry);
+    bytes += EncodedSize(event.entry);
     // What a watcher relayed meanwhile is newer than what this read shows.
     const bool older = event.entry.key.starts_with(prefix) && event.entry.mod_revision <= known;
     if (older) continue;
     if (event.deleted)
-      TakeRemoval(event.entry.key, event.entry.mod_revision);
+      ApplyRemoval(event.entry.key, event.entry.mod_revision);
     else
-      TakeEntry(event.entry);
+      ApplyEntry(event.entry);
   }
   changes_.Advance(batch.revision);
-  Decide(follow::ReadEnded{batch.revision, bytes, bytes});
-  NoteSource(false);
-  if (!batch.events.empty()) NoteChanged();
-  ReadWhenDue();
+  ApplyEvent(follow::ReadEnded{batch.revision, bytes, bytes});
+  LogSourceChange(false);
+  if (!batch.events.empty()) NotifyChanged();
+  ScheduleRead();
 }
 
-void StoreView::NoteChanged() {
+void StoreView::NotifyChanged() {
   metrics_.servers_known = static_cast<std::int64_t>(view_.servers.all().size());
   view_.changed.NotifyAll();
 }
 
-void StoreView::NoteSource(bool relayed) {
-  if (relayed_ == relayed) return;
-  relayed_ = relayed;
+void StoreView::LogSourceChange(bool relayed) {
+  if (last_update_relayed_ == relayed) return;
+  last_update_relayed_ = relayed;
   log_.Write(LogRank::kRoutine, EventLine(LogEvent::kStoreSource)
                                     .Field(LogField::kSource, relayed ? "leader" : "store")
                                     .Field(LogField::kRevision, ToString(state_.revision)));
 }
 
-void StoreView::NoteRevisionRead(StoreRevision revision) {
+void StoreView::CheckRevisionRead(StoreRevision revision) {
   metrics_.store_era = revision.era;
   metrics_.store_revision_read = revision.number;
-  const StoreRevision before = known_before_read_;
+  const StoreRevision before = revision_before_read_;
   const bool back = revision < before || (before.number > 0 && revision.era > before.era);
   if (!back) return;
   ++metrics_.store_went_back;
@@ -338,43 +341,43 @@
                                     .Field(LogField::kRevision, ToString(revision)));
 }
 
-void StoreView::TakeEntry(const KeyValue& entry) {
+void StoreView::ApplyEntry(const KeyValue& entry) {
   // Readers of moorfold's own keys decide by themselves what follows from a record without sense.
   if (!entry.readable && !internal_keys_.Contains(entry.key)) {
-    TakeUnreadable(entry, "its value is no text in base 64, or it has no revision");
+    ApplyUnreadable(entry, "its value is no text in base 64, or it has no revision");
     return;
   }
   try {
-    TakeReadable(entry);
+    ApplyReadable(entry);
   } catch (const std::exception& error) {
-    TakeUnreadable(entry, error.what());
+    ApplyUnreadable(entry, error.what());
   }
 }
 
-void StoreView::TakeReadable(const KeyValue& entry) {
+void StoreView::ApplyReadable(const KeyValue& entry) {
   if (entry.key == protocol_.layout().configuration_key)
-    TakeConfiguration(entry);
+    ApplyConfiguration(entry);
   else if (entry.key.starts_with(protocol_.layout().server_prefix))
-    TakeServer(entry);
+    ApplyServer(entry);
   else
-    internal_keys_.Take(entry);
+    internal_keys_.Apply(entry);
 }
 
-void StoreView::TakeUnreadable(const KeyValue& entry, const std::string& problem) {
+void StoreView::ApplyUnreadable(const KeyValue& entry, const std::string& problem) {
   const std::string& prefix = protocol_.layout().server_prefix;
   const bool configuration = entry.key == protocol_.layout().configuration_key;
   const bool server = entry.key.starts_with(prefix);
   if (!configuration && !server && !internal_keys_.Contains(entry.key)) return;
   // Listings show an entry again and again: it is told of once.
-  const bool told = configuration && configuration_unsure_since_ &&
-                    entry.mod_revision == configuration_entry_revision_;
+  const bool already_reported = configuration && configuration_uncertain_since_ &&
+                                entry.mod_revision == configuration_entry_revision_;
   if (configuration) {
     configuration_entry_revision_ = entry.mod_revision;
-    NoteConfigurationUnsure();
+    MarkConfigurationUncertain();
   } else if (server) {
-    servers_.TakeUnreadable(entry.key.substr(prefix.size()), entry.mod_revision);
+    servers_.ApplyUnreadable(entry.key.substr(prefix.size()), entry.mod_revision);
   }
-  if (told) return;
+  if (already_reported) return;
   ++metrics_.entries_skipped;
   log_.Write(LogRank::kFailure, EventLine(LogEvent::kEntrySkipped)
                                     .Field(LogField::kKey, entry.key)
@@ -382,7 +385,7 @@
                                     .Field(LogField::kProblem, problem));
 }
 
-void StoreView::TakeConfiguration(const KeyValue& entry) {
+void StoreView::ApplyConfiguration(const KeyValue& entry) {
   auto configuration =
       std::make_shared<const RoutingConfiguration>(protocol_.ParseConfiguration(entry.value));
   const std::int64_t held = Version();
@@ -390,16 +393,16 @@
   const bool newer = configuration->version > held;
   if (newer) {
     view_.routes = std::make_shared<const RouteTable>(configuration);
-    configuration_text_ = entry.value;
+    configuration_bytes_ = entry.value;
   }
   if (configuration->version < held) {
     // The store shows what was before the version held: none newer is known of until it has it
     // again.
-    NoteConfigurationUnsure();
+    MarkConfigurationUncertain();
     return;
   }
-  configuration_unsure_since_.reset();
-  DescribeAges();
+  configuration_uncertain_since_.reset();
+  PublishAges();
   if (!newer) return;
   view_.configured_at = BootClock::now();
   const SteadyTime read_began = state_.reading_since.value_or(view_.configured_at);
@@ -415,48 +418,48 @@
                                  : MillisecondsBetween(view_.configuration_current_at,
                                                        view_.configured_at))
                  .Field(LogField::kRevision, ToString(entry.mod_revision)));
-  configured_(*configuration);
+  configuration_handler_(*configuration);
 }
 
-void StoreView::TakeServer(const KeyValue& entry) {
+void StoreView::ApplyServer(const KeyValue& entry) {
   const std::string id = entry.key.substr(protocol_.layout().server_prefix.size());
   servers_.Put(protocol_.ParseServer(id, entry.value), entry.mod_revision, listing_new_era_);
 }
 
-void StoreView::TakeRemoval(const std::string& key, StoreRevision revision) {
+void StoreView::ApplyRemoval(const std::string& key, StoreRevision revision) {
   const std::string& prefix = protocol_.layout().server_prefix;
   if (key.starts_with(prefix))
-    servers_.TakeRemoval(key.substr(prefix.size()), revision);
+    servers_.ApplyRemoval(key.substr(prefix.size()), revision);
   else
-    internal_keys_.TakeRemoval(key, revision);
+    internal_keys_.ApplyRemoval(key, revision);
 }
 
-void StoreView::NoteContact(SteadyTime current_at) {
+void StoreView::RecordContact(SteadyTime current_at) {
   const auto silence = current_at - last_contact_;
   // Without a failed read, the ordinary time between two reads is no sign of an outage.
-  const auto outage = failed_reads_ > 0 ? kOutage : kOutage + settings_.longest_age;
-  if (contacted_ && silence > outage) servers_.BeginGrace();
-  if (!in_touch_)
-    log_.Write(
-        LogRank::kDecision,
-        EventLine(LogEvent::kStoreInTouch)
-            .Field(LogField::kFailedReads, failed_reads_)
-            .Field(LogField::kMs, contacted_ ? MillisecondsBetween(last_contact_, current_at) : 0)
-            .Field(LogField::kProblem, last_problem_));
-  in_touch_ = true;
-  contacted_ = true;
+  const auto outage = failed_reads_ > 0 ? kMinOutage : kMinOutage + settings_.longest_age;
+  if (ever_connected_ && silence > outage) servers_.BeginGracePeriod();
+  if (!store_connected_)
+    log_.Write(LogRank::kDecision,
+               EventLine(LogEvent::kStoreInTouch)
+                   .Field(LogField::kFailedReads, failed_reads_)
+                   .Field(LogField::kMs,
+                          ever_connected_ ? MillisecondsBetween(last_contact_, current_at) : 0)
+                   .Field(LogField::kProblem, last_error_));
+  store_connected_ = true;
+  ever_connected_ = true;
   view_.store_reachable = true;
   failed_reads_ = 0;
-  last_problem_.clear();
+  last_error_.clear();
   last_contact_ = std::max(last_contact_, current_at);
-  retry_pause_ = kFirstRetryPause;
+  retry_delay_ = kInitialRetryDelay;
 }
 
-void StoreView::NoteReadTime() {
+void StoreView::RecordReadTime() {
   const SteadyTime now = BootClock::now();
   const auto taken = now - state_.reading_since.value_or(now);
   metrics_.store_read.Observe(std::chrono::duration<double, std::milli>(taken).count());
-  if (taken < settings_.longest_age * kLateReadShare) return;
+  if (taken < settings_.longest_age * kSlowReadFraction) return;
   log_.Write(LogRank::kDecision,
              EventLine(LogEvent::kStoreReadLate)
                  .Field(LogField::kRead, ToString(state_.reading))
@@ -465,23 +468,23 @@
                         MillisecondsBetween(view_.configuration_current_at, now)));
 }
 
-void StoreView::NoteFailure(const PlatformFailure& failure) {
+void StoreView::RecordReadFailure(const PlatformFailure& failure) {
   watch_.reset();
   view_.store_reachable = false;
   view_.refreshed.NotifyAll();
   ++failed_reads_;
-  last_problem_ = failure.message;
+  last_error_ = failure.message;
   metrics_.failed_reads.Add(
       {{"read", ToString(state_.reading)}, {"reason", ToString(failure.fault)}});
   const bool unanswered = failure.fault == PlatformFault::kNoAnswer;
   const bool history_gone = failure.fault == PlatformFault::kRejected;
-  Decide(follow::ReadFailed{retry_pause_, unanswered, history_gone});
+  ApplyEvent(follow::ReadFailed{retry_delay_, unanswered, history_gone});
   const Milliseconds longest = follow::LongestPause(settings_, state_, BootClock::now());
-  retry_pause_ =
-      retry_pause_ >= settings_.longest_pause ? longest : std::min(longest, retry_pause_ * 2);
-  ReadWhenDue();
-  if (!in_touch_) return;
-  in_touch_ = false;
+  retry_delay_ =
+      retry_delay_ >= settings_.longest_pause ? longest : std::min(longest, retry_delay_ * 2);
+  ScheduleRead();
+  if (!store_connected_) return;
+  store_connected_ = false;
   log_.Write(LogRank::kFailure,
              EventLine(LogEvent::kStoreLost).Field(LogField::kProblem, failure.message));
 }
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -94,63 +94,63 @@
   using Milliseconds = std::chrono::milliseconds;
 
   /// @return whether others may rely on what is known here.
-  bool Serves() const {
+  bool CanServe() const {
     const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationKept();
     return whole && (state_.watches || serves_);
   }
   /// @return whether relayed changes are to be taken over.
-  bool Decide(const follow::Event& event);
-  void ReadWhenDue();
+  bool ApplyEvent(const follow::Event& event);
+  void ScheduleRead();
   void Read();
   /// @return what to do with the answer to a read of a range.
-  KeyValueStore::Callback<RangeResult> WhenRead(void (StoreView::*take)(const RangeResult&),
-                                                ReadConsistency consistency);
+  KeyValueStore::Callback<RangeResult> MakeReadCallback(void (StoreView::*take)(const RangeResult&),
+                                                        ReadConsistency consistency);
   /// Reads what is now under `range`, and hands it to `take`.
   void ReadRange(KeyRange range, void (StoreView::*take)(const RangeResult&),
                  ReadConsistency consistency = ReadConsistency::kLinearizable);
   /// Reads the first page of a first listing: in a large fleet the rest comes from a relay.
   void ReadFirstPage();
-  void TakeFirstPage(const RangeResult& page);
+  void ApplyFirstPage(const RangeResult& page);
   /// @return whether nothing but servers can stand after the page.
-  bool HoldsAllButServers(const RangeResult& page) const;
-  void TakeListing(const RangeResult& listing);
-  void TakeServers(const RangeResult& listing);
+  bool OnlyServersFollow(const RangeResult& page) const;
+  void ApplyListing(const RangeResult& listing);
+  void ApplyServers(const RangeResult& listing);
   /// Takes the configuration and moorfold's own keys of a listing over.
-  void TakeOtherEntries(const RangeResult& listing);
+  void ApplyOtherEntries(const RangeResult& listing);
   /// Takes the servers of a listing over: what has changed, and who is missing.
-  void TakeServerEntries(const RangeResult& listing);
-  void TakeConfigurationRead(const RangeResult& listing);
+  void ApplyServerEntries(const RangeResult& listing);
+  void ApplyConfigurationRead(const RangeResult& listing);
   /// @return of the configuration held; -1 without one.
   std::int64_t Version() const;
   void ReadChanges();
-  void TakeBatch(const WatchBatch& batch);
+  void ApplyWatchBatch(const WatchBatch& batch);
   /// @return about how many bytes the changes since the revision known would have been.
-  std::optional<double> ChangesReplacedBy(const RangeResult& listing) const;
-  void TakeChange(const ServerChange& change);
+  std::optional<double> EstimateChangeBytes(const RangeResult& listing) const;
+  void ApplyServerChange(const ServerChange& change);
   /// All pages of a relay were taken over.
-  void EndSnapshot();
-  void NoteSource(bool relayed);
+  void FinishSnapshot();
+  void LogSourceChange(bool relayed);
   /// Tells that the store's revision is lower than what this daemon holds for known.
-  void NoteRevisionRead(StoreRevision revision);
+  void CheckRevisionRead(StoreRevision revision);
   /// @return whether an answer is older than what is known; it then counts as a failed read.
-  bool IsOfEarlierEra(StoreRevision revision);
+  bool RejectEarlierEra(StoreRevision revision);
   /// What the store shows in place of the configuration held is none, or an older one.
-  void NoteConfigurationUnsure();
-  void NoteChanged();
-  void TakeEntry(const KeyValue& entry);
+  void MarkConfigurationUncertain();
+  void NotifyChanged();
+  void ApplyEntry(const KeyValue& entry);
   /// @throws std::exception where the entry cannot be read.
-  void TakeReadable(const KeyValue& entry);
+  void ApplyReadable(const KeyValue& entry);
   /// What cannot be read names no server, and says nothing of the configuration.
-  void TakeUnreadable(const KeyValue& entry, const std::string& problem);
-  void DescribeAges();
-  void TakeRemoval(const std::string& key, StoreRevision revision);
-  void TakeConfiguration(const KeyValue& entry);
-  void TakeServer(const KeyValue& entry);
+  void ApplyUnreadable(const KeyValue& entry, const std::string& problem);
+  void PublishAges();
+  void ApplyRemoval(const std::string& key, StoreRevision revision);
+  void ApplyConfiguration(const KeyValue& entry);
+  void ApplyServer(const KeyValue& entry);
   /// @param current_at when the store had nothing newer than what is known now.
-  void NoteContact(SteadyTime current_at);
-  void NoteFailure(const PlatformFailure& failure);
+  void RecordContact(SteadyTime current_at);
+  void RecordReadFailure(const PlatformFailure& failure);
   /// Tells how long the read under way has taken until now, when it was answered or failed.
-  void NoteReadTime();
+  void RecordReadTime();
 
   KeyValueStore& store_;
   const FleetProtocol& protocol_;
@@ -160,31 +160,31 @@
   InternalKeys internal_keys_;
   ChangeLog changes_;
   ServerEntries servers_;
-  ConfigurationHandler configured_;
+  ConfigurationHandler configuration_handler_;
   /// The store shows nothing readable in the place of the configuration held, or an older one: none
   /// newer than the one held existed at that time.
-  std::optional<SteadyTime> configuration_unsure_since_;
+  std::optional<SteadyTime> configuration_uncertain_since_;
   follow::Settings settings_;
   follow::State state_;
   SnapshotReader snapshot_;
   ConfigurationReader configuration_reader_;
-  std::string configuration_text_;  ///< Of the configuration held, as the store has it.
+  std::string configuration_bytes_;  ///< Of the configuration held, as the store has it.
   bool serves_ = false;
   std::unique_ptr<WatchHandle> watch_;
-  struct ReadWanted {};
+  struct ActiveRead {};
   /// Lives as long as the range under way is wanted.
-  std::shared_ptr<ReadWanted> read_wanted_;
-  std::int64_t told_version_ = -1;     ///< Of the newest configuration that a watcher told of.
-  std::int64_t reading_version_ = -1;  ///< The same when the read under way began.
-  StoreRevision known_before_read_;    ///< All changes up to it, when the read under way began.
+  std::shared_ptr<ActiveRead> active_read_;
+  std::int64_t announced_version_ = -1;  ///< Of the newest configuration that a watcher told of.
+  std::int64_t expected_version_ = -1;   ///< The same when the read under way began.
+  StoreRevision revision_before_read_;   ///< All changes up to it, when the read under way began.
   StoreRevision configuration_entry_revision_;  ///< Of the entry that was read last.
   BootTimer read_timer_;
-  Milliseconds retry_pause_;
-  std::optional<bool> relayed_;  ///< Whether the last news came from a watcher.
-  bool in_touch_ = false;
-  bool contacted_ = false;          ///< At least once in this life.
+  Milliseconds retry_delay_;
+  std::optional<bool> last_update_relayed_;  ///< Whether the last news came from a watcher.
+  bool store_connected_ = false;
+  bool ever_connected_ = false;     ///< At least once in this life.
   std::uint32_t failed_reads_ = 0;  ///< Since the last contact.
-  std::string last_problem_;        ///< Of the last failed read since then.
+  std::string last_error_;          ///< Of the last failed read since then.
   SteadyTime last_contact_{};       ///< The store was in touch then.
   bool listing_new_era_ = false;    ///< While the first listing of a later era is taken over.
 };
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -32,7 +32,7 @@
   // A follower takes the version stated here for the newest as of the revision stated here. One
   // that tells no era of its revision could not tell what an answer is worth: it reads by itself.
   const bool understood = question.revision.era != kEraUntold;
-  answer.relays = understood && Serves();
+  answer.relays = understood && CanServe();
   if (!answer.relays) return answer;
   const SteadyTime current_at = std::min(state_.current_at, view_.configuration_current_at);
   answer.age_us = Microseconds(BootClock::now() - current_at);
@@ -48,9 +48,9 @@
 
 void StoreView::SetRelays(bool named) {
   const bool reading = state_.reading_since.has_value();
-  Decide(follow::RelaysTold{named});
-  if (reading && !state_.reading_since) read_wanted_.reset();
-  ReadWhenDue();
+  ApplyEvent(follow::RelaysTold{named});
+  if (reading && !state_.reading_since) active_read_.reset();
+  ScheduleRead();
 }
 
 std::optional<ServersQuestion> StoreView::NextServersQuestion() {
@@ -64,7 +64,7 @@
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
   page.after = question.after;
-  page.relays = Serves();
+  page.relays = CanServe();
   if (!page.relays) return page;
   FillServersPage(page, view_.servers);
   page.revision = state_.revision;
@@ -84,26 +84,26 @@
   for (ServerChange server : page.servers) {
     named.insert(server.record.id);
     server.revision = page.revision;  // It changed at some revision up to this one.
-    TakeChange(server);
+    ApplyServerChange(server);
   }
   std::vector<std::string> missing;
   const ServerDirectory::ById& all = view_.servers.all();
   const auto end = page.more ? all.upper_bound(page.last) : all.end();
   for (auto known = all.upper_bound(page.after); known != end; ++known)
     if (!named.contains(known->first)) missing.push_back(known->first);
-  for (const std::string& id : missing) servers_.TakeRemoval(id, page.revision);
+  for (const std::string& id : missing) servers_.ApplyRemoval(id, page.revision);
   const bool newer = page.configuration_version > Version();
-  if (newer) told_version_ = page.configuration_version;
+  if (newer) announced_version_ = page.configuration_version;
   const SteadyTime asked_at{std::chrono::microseconds(page.asked_at_us)};
   const std::chrono::microseconds age{std::max<std::int64_t>(0, page.age_us)};
-  Decide(follow::ServersPageTaken{page.revision, newer, asked_at - age});
-  if (taken == Taken::kWhole) EndSnapshot();
+  ApplyEvent(follow::ServersPageTaken{page.revision, newer, asked_at - age});
+  if (taken == Taken::kWhole) FinishSnapshot();
   return taken;
 }
 
 std::optional<ConfigurationQuestion> StoreView::NextConfigurationQuestion() {
-  if (follow::WantsConfiguration(state_) && told_version_ > Version())
-    configuration_reader_.Want(told_version_);
+  if (follow::WantsConfiguration(state_) && announced_version_ > Version())
+    configuration_reader_.Want(announced_version_);
   else
     configuration_reader_.Stop();
   return configuration_reader_.Due(BootClock::now());
@@ -112,7 +112,7 @@
 std::optional<ConfigurationPart> StoreView::MakeConfigurationPart(
     const ConfigurationQuestion& question) const {
   if (question.version != Version()) return std::nullopt;
-  return PartOf(configuration_text_, configuration_entry_revision_, question);
+  return PartOf(configuration_bytes_, configuration_entry_revision_, question);
 }
 
 void StoreView::ApplyConfigurationPart(const ConfigurationPart& part) {
@@ -122,22 +122,22 @@
   entry.key = protocol_.layout().configuration_key;
   entry.value = text->bytes;
   entry.mod_revision = text->revision;
-  TakeEntry(entry);
-  if (Version() < told_version_) return;
-  Decide(follow::ConfigurationTaken{});
-  NoteChanged();
-  ReadWhenDue();
+  ApplyEntry(entry);
+  if (Version() < announced_version_) return;
+  ApplyEvent(follow::ConfigurationTaken{});
+  NotifyChanged();
+  ScheduleRead();
 }
 
-void StoreView::EndSnapshot() {
+void StoreView::FinishSnapshot() {
   if (state_.listed)
     changes_.NoteListing(state_.revision, snapshot_.revision());
   else
     changes_.Restart(snapshot_.revision());
-  Decide(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
-  NoteSource(true);
-  NoteChanged();
-  ReadWhenDue();
+  ApplyEvent(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
+  LogSourceChange(true);
+  NotifyChanged();
+  ScheduleRead();
 }
 
 void StoreView::TakeAnswer(const ChangeAnswer& answer) {
@@ -145,7 +145,8 @@
   const std::int64_t configuration = Version();
   const StoreRevision known = state_.revision;
   const std::chrono::microseconds age{std::max<std::int64_t>(0, answer.age_us)};
-  if (answer.configuration_version > configuration) told_version_ = answer.configuration_version;
+  if (answer.configuration_version > configuration)
+    announced_version_ = answer.configuration_version;
   const follow::Relayed relayed{answer.gap,
                                 !answer.leads,
                                 answer.from_revision,
@@ -155,25 +156,25 @@
                                 answer.partial};
   if (answer.leads && !answer.relays) return;
   const SteadyTime current_before = state_.current_at;
-  const bool apply = Decide(relayed);
+  const bool apply = ApplyEvent(relayed);
   if (apply) {
     for (const ServerChange& change : answer.servers)
-      if (change.revision > known) TakeChange(change);
+      if (change.revision > known) ApplyServerChange(change);
     changes_.Advance(answer.to_revision);
     metrics_.relayed_changes += answer.servers.size();
-    if (!answer.servers.empty()) NoteChanged();
+    if (!answer.servers.empty()) NotifyChanged();
   }
   if (state_.current_at > current_before) {
-    NoteContact(state_.current_at);
-    NoteSource(true);
+    RecordContact(state_.current_at);
+    LogSourceChange(true);
     ++metrics_.relay_answers_taken;
   }
-  ReadWhenDue();
+  ScheduleRead();
 }
 
-void StoreView::TakeChange(const ServerChange& change) {
+void StoreView::ApplyServerChange(const ServerChange& change) {
   if (change.gone) {
-    TakeRemoval(protocol_.layout().server_prefix + change.record.id, change.revision);
+    ApplyRemoval(protocol_.layout().server_prefix + change.record.id, change.revision);
     return;
   }
   ServerRecord record = change.record;
--- a/test/gateway/catching_up_test.cc
+++ b/test/gateway/catching_up_test.cc
@@ -39,8 +39,8 @@
 }
 
 /// A daemon behind a link that can be cut or slow.
-struct DistantDaemon {
-  DistantDaemon(boost::asio::io_context& io, StoreEmulator& emulator)
+struct DaemonBehindLink {
+  DaemonBehindLink(boost::asio::io_context& io, StoreEmulator& emulator)
       : link(io, emulator.endpoint()),
         client(io, link.endpoint(), {}),
         log(-1, {}),
@@ -55,7 +55,7 @@
         [](const RoutingConfiguration&) {});
   }
   std::int64_t Version() const { return view.routes ? view.routes->configuration().version : -1; }
-  bool KnowsDraining(const std::string& id) const {
+  bool DrainingOrGone(const std::string& id) const {
     const ServerPtr server = view.servers.Find(id);
     return server == nullptr || server->record().draining;
   }
@@ -87,8 +87,8 @@
       co_await Sleep(kConfigurationEvery);
     }
   }
-  bool RunUntil(const std::function<bool()>& done, milliseconds patience) {
-    const auto give_up = BootClock::now() + patience;
+  bool RunUntil(const std::function<bool()>& done, milliseconds timeout) {
+    const auto give_up = BootClock::now() + timeout;
     while (!done() && BootClock::now() < give_up) context.run_one_for(milliseconds(5));
     return done();
   }
@@ -99,7 +99,7 @@
   boost::asio::io_context context{1};
   StoreEmulator store;
   int version = 0;
-  DistantDaemon daemon;
+  DaemonBehindLink daemon;
 };
 
 TEST_CASE("A daemon that was cut off catches up while configurations go on changing") {
@@ -107,15 +107,15 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.daemon.Version() > 0; }, milliseconds(5'000)));
   fixture.RunFor(milliseconds(2'000));
   CHECK(fixture.version - fixture.daemon.Version() <= kStalenessBound / kConfigurationEvery);
-  const milliseconds away = GENERATE(milliseconds(500), milliseconds(4'000), milliseconds(9'000));
-  INFO("cut off for " << away.count() << " ms");
+  const milliseconds outage = GENERATE(milliseconds(500), milliseconds(4'000), milliseconds(9'000));
+  INFO("cut off for " << outage.count() << " ms");
   fixture.daemon.link.SetMode(ProxyMode::kRefuse);
-  fixture.RunFor(away);
+  fixture.RunFor(outage);
   fixture.daemon.link.SetMode(ProxyMode::kPass);
   fixture.PutServer("i-1", "draining");
-  const int leaving_with = fixture.version;
-  CHECK(fixture.RunUntil([&] { return fixture.daemon.KnowsDraining("i-1"); }, kStalenessBound));
-  CHECK(fixture.RunUntil([&] { return fixture.daemon.Version() >= leaving_with; },
+  const int version_at_drain = fixture.version;
+  CHECK(fixture.RunUntil([&] { return fixture.daemon.DrainingOrGone("i-1"); }, kStalenessBound));
+  CHECK(fixture.RunUntil([&] { return fixture.daemon.Version() >= version_at_drain; },
                          milliseconds(500)));
 }
 
@@ -139,7 +139,7 @@
   fixture.PutServer("i-1", "draining");
   // The pause between two reads, one call's limit, the pause before the next, that read.
   const milliseconds bound(1'650 + 1'000 + 100 + 200);
-  CHECK(fixture.RunUntil([&] { return fixture.daemon.KnowsDraining("i-1"); }, bound));
+  CHECK(fixture.RunUntil([&] { return fixture.daemon.DrainingOrGone("i-1"); }, bound));
 }
 
 TEST_CASE("A newer configuration does not hold back what is relayed of servers") {
--- a/test/gateway/configuration_in_force_test.cc
+++ b/test/gateway/configuration_in_force_test.cc
@@ -67,7 +67,7 @@
   GatewayOnThread& operator=(const GatewayOnThread&) = delete;
 
   Endpoint listen() const { return gateway_.listen(); }
-  void StandStill(milliseconds length) {
+  void Stall(milliseconds length) {
     boost::asio::post(context_, [length] { std::this_thread::sleep_for(length); });
   }
 
@@ -112,7 +112,7 @@
     new_server.Start();
     store.Put("op/config", ConfigurationText(1, "old"));
     gateway = std::make_unique<GatewayOnThread>(store.endpoint());
-    boost::asio::co_spawn(context, SendOn(), boost::asio::detached);
+    boost::asio::co_spawn(context, SendRequests(), boost::asio::detached);
     REQUIRE(RunUntil([&] { return !served.empty() && served.back().by_old_server; }));
     RunFor(milliseconds(1'500));  // Past what a start reads.
   }
@@ -130,8 +130,8 @@
     options.work = milliseconds(1);
     return options;
   }
-  bool RunUntil(const std::function<bool()>& done, milliseconds patience = milliseconds(40'000)) {
-    const auto give_up = BootClock::now() + patience;
+  bool RunUntil(const std::function<bool()>& done, milliseconds timeout = milliseconds(40'000)) {
+    const auto give_up = BootClock::now() + timeout;
     while (!done() && BootClock::now() < give_up) context.run_one_for(milliseconds(5));
     return done();
   }
@@ -144,19 +144,19 @@
     REQUIRE(RunUntil([&] { return store.reads_answered() > before; }));
     RunFor(milliseconds(20));  // Until the answer has arrived.
   }
-  void Move() {
+  void MoveRoute() {
     store.Put("op/config", ConfigurationText(2, "new"));
-    moved_at = BootClock::now();
+    changed_at = BootClock::now();
   }
   /// The first server of the old service leaves.
-  void Leave() {
+  void DrainOldServer() {
     old_server.Drain();
-    moved_at = BootClock::now();
+    changed_at = BootClock::now();
   }
-  Awaitable<void> SendOn() {
+  Awaitable<void> SendRequests() {
     constexpr milliseconds kPause{10};
     for (int number = 0;; ++number) {
-      while (resting) co_await Sleep(kPause);
+      while (client_paused) co_await Sleep(kPause);
       const std::string id = "r-" + std::to_string(number);
       checker.Sent(id, RequestKind::kRepeatable);
       HttpRequest request{"GET",
@@ -181,23 +181,23 @@
     }
   }
   /// @return of the requests sent after the bound had passed, how many the old server ran.
-  int RunByOldServer() const {
+  int CountRunByOldServer() const {
     int count = 0;
     for (const ServedRequest& each : served)
-      if (each.sent - moved_at > kBound && each.by_old_server) ++count;
+      if (each.sent - changed_at > kBound && each.by_old_server) ++count;
     return count;
   }
-  int NotServed() const {
+  int CountFailed() const {
     int count = 0;
     for (const ServedRequest& each : served)
-      if (each.sent > moved_at && each.status != 200) ++count;
+      if (each.sent > changed_at && each.status != 200) ++count;
     return count;
   }
-  void CheckInForce() {
+  void CheckChangeInForce() {
     RunFor(milliseconds(4'500));
     REQUIRE_FALSE(served.back().by_old_server);
-    CHECK(RunByOldServer() == 0);
-    CHECK(NotServed() == 0);
+    CHECK(CountRunByOldServer() == 0);
+    CHECK(CountFailed() == 0);
   }
 
   ClosableContext context{1};
@@ -209,16 +209,16 @@
   HttpClient client;
   std::unique_ptr<GatewayOnThread> gateway;
   std::vector<ServedRequest> served;
-  BootClock::time_point moved_at{};
-  bool resting = false;  ///< The client sends nothing; its connection stands.
+  BootClock::time_point changed_at{};
+  bool client_paused = false;  ///< The client sends nothing; its connection stands.
 };
 
 TEST_CASE("A configuration is in force in its time though an answer of the store is lost") {
   MovedRoute route;
   route.AwaitRead();
-  route.Move();
+  route.MoveRoute();
   route.store.faults().next_read_lost = true;
-  route.CheckInForce();
+  route.CheckChangeInForce();
 }
 
 TEST_CASE("A configuration is in force in its time though an answer of the store is late") {
@@ -226,9 +226,9 @@
     CAPTURE(late.count());
     MovedRoute route;
     route.AwaitRead();
-    route.Move();
+    route.MoveRoute();
     route.store.faults().next_read_late = late;
-    route.CheckInForce();
+    route.CheckChangeInForce();
   }
 }
 
@@ -238,20 +238,20 @@
   route.spare_server.Start();
   route.RunFor(milliseconds(1'500));
   route.AwaitRead();
-  route.Leave();
+  route.DrainOldServer();
   route.store.faults().next_read_lost = true;
-  route.CheckInForce();
+  route.CheckChangeInForce();
 }
 
 TEST_CASE("A daemon that stood still reads the store before it uses the routes that it knew") {
   MovedRoute route;
-  route.resting = true;
+  route.client_paused = true;
   route.AwaitRead();
-  route.Move();
-  route.gateway->StandStill(milliseconds(2'800));
+  route.MoveRoute();
+  route.gateway->Stall(milliseconds(2'800));
   route.RunFor(milliseconds(2'300));
-  route.resting = false;  // Its request waits in the daemon's socket.
-  route.CheckInForce();
+  route.client_paused = false;  // Its request waits in the daemon's socket.
+  route.CheckChangeInForce();
 }
 
 }  // namespace
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -23,7 +23,7 @@
     REQUIRE(RunUntil([&] { return view.servers.all().size() == 2; }));
   }
   /// Until the store as it came back has been listed.
-  void ComeBackFrom(const KeyValueTable& copy) {
+  void RestoreStoreFrom(const KeyValueTable& copy) {
     table.RestoreFrom(copy);
     store.EndWatch();
     REQUIRE(RunUntil([&] { return metrics.store_era == table.era(); }));
@@ -40,7 +40,7 @@
   const KeyValueTable copy = fixture.table;
   fixture.PutServer("i-1", "draining");
   REQUIRE(fixture.RunUntil([&] { return !fixture.Usable("i-1"); }));
-  fixture.ComeBackFrom(copy);
+  fixture.RestoreStoreFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.Usable("i-2"));
   CHECK(fixture.metrics.leaving_kept > 0);
@@ -53,7 +53,7 @@
   const KeyValueTable copy = fixture.table;
   fixture.Remove("servers/i-1");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1") == nullptr; }));
-  fixture.ComeBackFrom(copy);
+  fixture.RestoreStoreFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.metrics.entries_doubted == 1);
   fixture.PutServer("i-1");  // It writes: it lives.
@@ -65,7 +65,7 @@
   const KeyValueTable copy = fixture.table;
   fixture.Remove("servers/i-1");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1") == nullptr; }));
-  fixture.ComeBackFrom(copy);
+  fixture.RestoreStoreFrom(copy);
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }, milliseconds(8'000)));
 }
 
@@ -75,7 +75,7 @@
   fixture.PutServer("i-3");
   fixture.PutServer("i-4");
   REQUIRE(fixture.RunUntil([&] { return fixture.Usable("i-4"); }));
-  fixture.ComeBackFrom(copy);
+  fixture.RestoreStoreFrom(copy);
   CHECK(fixture.Usable("i-3"));
   CHECK(fixture.Usable("i-4"));
   fixture.PutServer("i-3");
@@ -88,7 +88,7 @@
   const KeyValueTable copy = fixture.table;
   fixture.PutVersion(9);
   REQUIRE(fixture.RunUntil([&] { return fixture.Version() == 9; }));
-  fixture.ComeBackFrom(copy);
+  fixture.RestoreStoreFrom(copy);
   CHECK(fixture.Version() == 9);
   const auto known_at = fixture.view.configuration_current_at;
   const std::uint64_t reads = fixture.metrics.store_read.count();
@@ -106,9 +106,9 @@
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.Put("moorfold/leader", "someone");
-  REQUIRE(fixture.RunUntil([&] { return fixture.own_key.back() == "someone"; }));
-  fixture.ComeBackFrom(copy);
-  CHECK(fixture.own_key.back() == "gone");
+  REQUIRE(fixture.RunUntil([&] { return fixture.internal_key_values.back() == "someone"; }));
+  fixture.RestoreStoreFrom(copy);
+  CHECK(fixture.internal_key_values.back() == "gone");
 }
 
 TEST_CASE("A sign of a later era makes a daemon list the store, though no read has failed") {
@@ -143,7 +143,7 @@
   const KeyValueTable copy = table;
   const QuarantineNotice cases{{Quarantined("a")}};
   const CreditSharing shares{7, {"127.0.0.1:1"}};
-  const auto write_until_stored = [&] {
+  const auto write_until_both_stored = [&] {
     const auto give_up = BootClock::now() + milliseconds(6'000);
     while (table.Range({"moorfold/", "moorfold0"}).entries.size() != 2 &&
            BootClock::now() < give_up) {
@@ -154,11 +154,11 @@
     }
     return table.Range({"moorfold/", "moorfold0"}).entries.size() == 2;
   };
-  REQUIRE(write_until_stored());
+  REQUIRE(write_until_both_stored());
   table.RestoreFrom(copy);
   quarantine.Seen("", table.revision());  // As the listing of the copy tells.
   sharing.Seen(std::nullopt, table.revision());
-  CHECK(write_until_stored());
+  CHECK(write_until_both_stored());
 }
 
 }  // namespace
--- a/test/gateway/stated_leaving_test.cc
+++ b/test/gateway/stated_leaving_test.cc
@@ -77,13 +77,13 @@
   deployment.platform.store().faults().unavailable = true;
   for (ServerEmulator* server : leaving) server->faults().says_leaving = true;
   // A gateway hears it from its own request there.
-  const auto all_told = [&] {
+  const auto all_recorded = [&] {
     return std::all_of(deployment.gateways.begin(), deployment.gateways.end(),
                        [&](const auto& each) {
                          return each->gateway.metrics().server_statements == leaving.size();
                        });
   };
-  REQUIRE(deployment.RunUntil(all_told));
+  REQUIRE(deployment.RunUntil(all_recorded));
   deployment.RunFor(milliseconds(500));  // What was under way has arrived.
   std::vector<std::uint64_t> runs;
   for (const ServerEmulator* server : leaving) runs.push_back(server->runs());
--- a/test/gateway/store_view_test.cc
+++ b/test/gateway/store_view_test.cc
@@ -25,8 +25,8 @@
   fixture.PutServer("i-1", "draining");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1")->record().draining; }));
   CHECK(fixture.Version() == 9);
-  CHECK(fixture.configurations == 2);
-  CHECK(fixture.own_key == std::vector<std::string>{"gone"});
+  CHECK(fixture.configurations_applied == 2);
+  CHECK(fixture.internal_key_values == std::vector<std::string>{"gone"});
 }
 
 TEST_CASE("What cannot be read is skipped, and the process goes on with what it had") {
--- a/test/gateway/view_fixture.h
+++ b/test/gateway/view_fixture.h
@@ -20,9 +20,9 @@
     store_view.Start(
         "moorfold/leader",
         [this](const std::optional<KeyValue>& entry, StoreRevision) {
-          own_key.push_back(entry ? entry->value : "gone");
+          internal_key_values.push_back(entry ? entry->value : "gone");
         },
-        [this](const RoutingConfiguration&) { ++configurations; });
+        [this](const RoutingConfiguration&) { ++configurations_applied; });
   }
   void Put(const std::string& key, const std::string& value) {
     Transaction transaction;
@@ -47,8 +47,8 @@
   }
   std::int64_t Version() const { return view.routes ? view.routes->configuration().version : -1; }
   bool RunUntil(const std::function<bool()>& done,
-                std::chrono::milliseconds patience = std::chrono::milliseconds(20'000)) {
-    const auto give_up = BootClock::now() + patience;
+                std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000)) {
+    const auto give_up = BootClock::now() + timeout;
     while (!done() && BootClock::now() < give_up) {
       store.Deliver();
       if (context.stopped()) context.restart();
@@ -69,8 +69,8 @@
   static constexpr follow::Settings kSettings{
       std::chrono::milliseconds(20), std::chrono::milliseconds(10), std::chrono::milliseconds(10)};
   StoreView store_view{context, store, protocol, view, metrics, log, kSettings};
-  std::vector<std::string> own_key;
-  int configurations = 0;
+  std::vector<std::string> internal_key_values;
+  int configurations_applied = 0;
 };
 
 }  // namespace moorfold
