--- a/src/gateway/counting_store.h
+++ b/src/gateway/counting_store.h
@@ -7,8 +7,8 @@
 
 namespace moorfold {
 
-/// Counts the calls to a store by kind and outcome, and passes them on. One thread; the store and
-/// the metrics outlive it and every call under way.
+/// A decorator that counts the calls to a store by kind and outcome and forwards them. Not
+/// thread-safe. The store and the metrics must outlive this object and every call in progress.
 class CountingStore final : public KeyValueStore {
  public:
   CountingStore(KeyValueStore& store, GatewayMetrics& metrics) : store_(store), metrics_(metrics) {}
@@ -22,7 +22,7 @@
   void GrantLease(Duration time_to_live, Callback<LeaseId> done) override;
   void KeepLeaseAlive(LeaseId lease, Callback<Duration> done) override;
   void RevokeLease(LeaseId lease, Callback<bool> done) override;
-  /// Counts each batch and the end.
+  /// Counts each batch and the end of the watch.
   std::unique_ptr<WatchHandle> Watch(KeyRange range, StoreRevision start, WatchCallback changed,
                                      WatchEndCallback ended) override;
   std::uint64_t repeated_reads() const override { return store_.repeated_reads(); }
--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -12,8 +12,8 @@
 
 namespace moorfold {
 
-/// What one daemon believes: the configuration, the servers, and its own demand. One thread; the
-/// store's view writes it, requests read it.
+/// What one daemon knows of the fleet: the configuration, the servers and its own demand. Not
+/// thread-safe; StoreView writes it and request handling reads it.
 struct FleetView {
   explicit FleetView(const boost::asio::any_io_executor& executor)
       : changed(executor), demand_raised(executor), refreshed(executor) {}
@@ -22,37 +22,41 @@
   ServerDirectory servers;
   ExpectedModels expected;
   DemandBook demand;
-  SteadyTime configured_at{};             ///< When `routes` was taken over.
-  SteadyTime servers_current_at{};        ///< At that time the store knew no more of servers.
-  SteadyTime configuration_current_at{};  ///< The same of the configuration.
-  /// A configuration must be in force so soon after the store has it. Source: the platform's bound.
+  SteadyTime configured_at{};       ///< When `routes` was last replaced.
+  SteadyTime servers_current_at{};  ///< `servers` was complete as of this time.
+  SteadyTime
+      configuration_current_at{};  ///< `routes` was the newest configuration as of this time.
+  /// A configuration must be in force within this time after the store has it. The platform defines
+  /// this bound.
   std::chrono::milliseconds configuration_bound{2'000};
-  bool configuration_readable = true;  ///< False: what stands in its place cannot be read.
-  /// A server that leaves must be unused so soon after the store has it. Source: the same.
+  bool configuration_readable = true;  ///< False while the store's configuration entry is missing,
+                                       ///< unreadable or older than `routes`.
+  /// A leaving server must receive no more requests within this time after the store shows that it
+  /// leaves. The platform defines this bound.
   std::chrono::milliseconds staleness_bound{2'000};
-  /// Nothing says that the store is out of reach: its last read was answered, and no request has
-  /// waited in vain for one since.
+  /// Whether the store is considered reachable: its last read succeeded, and no request has since
+  /// waited for a read that did not complete.
   bool store_reachable = false;
-  AsyncSignal changed;        ///< Notified when a waiting request may find a server now.
+  AsyncSignal changed;        ///< Notified when a waiting request may now find a server.
   AsyncSignal demand_raised;  ///< Notified when a request begins to wait for a server.
-  AsyncSignal refreshed;      ///< Notified when the store was read, or could not be.
-
-  /// What a daemon does while it knows that it is behind:
-  /// - It goes on sending requests to servers as it knew them last. A server proves itself with
-  ///   each answer: one that is not the one expected, or is leaving, says so, and is not used
-  ///   again. Refusing instead would end the service of every daemon in an outage of the store.
-  /// - It goes on using the routes that it knows. A route that it does not know may have been added
-  ///   since: its requests are turned away at once as not run, with a time to come back, and never
-  ///   told that there is no such route, unless this holds.
-  /// @return whether no configuration can be in force by now that this daemon does not know.
+  AsyncSignal refreshed;      ///< Notified when a read of the store succeeds or fails.
+
+  /// While a daemon knows that its view is outdated:
+  /// - It keeps sending requests to the servers that it knows. Each response identifies its server,
+  ///   so a server that has been replaced or is leaving is detected and no longer used. Rejecting
+  ///   the requests instead would stop every daemon during an outage of the store.
+  /// - It keeps using the routes that it knows. A request without a matching route may belong to a
+  ///   route that was added since, so it is rejected at once as not executed, with a time to retry.
+  ///   It is told that there is no such route only while this function returns true.
+  /// @return whether `routes` is certain to be the configuration in force.
   bool ConfigurationCurrent(SteadyTime now) const {
     return routes != nullptr && now - configuration_current_at < configuration_bound;
   }
 
-  /// What is older than its bound is not used while the store answers: a process that stood still,
-  /// or waited for the processor, finds requests in its sockets before it has read what changed
-  /// meanwhile.
-  /// @return whether a request is to wait for the read of the store that is due or under way.
+  /// A view older than its bound is not used while the store is reachable. After the process was
+  /// suspended or waited for the CPU, requests may be queued in its sockets before it has read what
+  /// changed in the meantime.
+  /// @return whether a request must wait for the read of the store that is due or in progress.
   bool ShouldAwaitRead(SteadyTime now) const {
     const bool configuration_old = configuration_readable && !ConfigurationCurrent(now);
     const bool old = configuration_old || now - servers_current_at >= staleness_bound;
--- a/src/gateway/internal_keys.cc
+++ b/src/gateway/internal_keys.cc
@@ -11,7 +11,8 @@
 }
 
 InternalKeys::Subscription* InternalKeys::Find(const std::string& key) {
-  return const_cast<Subscription*>(std::as_const(*this).Find(key));  // Of this object.
+  return const_cast<Subscription*>(
+      std::as_const(*this).Find(key));  // Safe: this object is not const.
 }
 
 void InternalKeys::Apply(const KeyValue& entry) {
--- a/src/gateway/internal_keys.h
+++ b/src/gateway/internal_keys.h
@@ -10,26 +10,27 @@
 
 namespace moorfold {
 
-/// The keys of moorfold's own in the store, and who hears of each. One thread.
+/// The keys that moorfold itself writes to the store, with a handler for each. Not thread-safe.
 class InternalKeys {
  public:
-  /// Hears of the key's newest state, or that it is gone, in the order of revisions.
+  /// Called with the newest entry of the key, or without one after its removal, in the order of
+  /// revisions.
   using Handler = std::function<void(const std::optional<KeyValue>& entry, StoreRevision revision)>;
 
   void Subscribe(std::string key, Handler changed) {
     subscriptions_.push_back({std::move(key), std::move(changed), {}});
   }
   bool Contains(const std::string& key) const { return Find(key) != nullptr; }
-  /// @return whether all of them stand before `key` in the order of keys.
+  /// @return whether all keys sort before `key`.
   bool AllBefore(const std::string& key) const {
     return std::all_of(subscriptions_.begin(), subscriptions_.end(),
                        [&](const Subscription& subscription) { return subscription.key < key; });
   }
-  /// The store shows the key so. Nothing where a state as new was shown before.
+  /// Applies an entry of the store; ignored unless it is newer than the state reported last.
   void Apply(const KeyValue& entry);
-  /// The store shows no such key.
+  /// Applies the removal of a key.
   void ApplyRemoval(const std::string& key, StoreRevision revision);
-  /// All keys that `listed` does not hold are gone.
+  /// Applies the removal of each key that `listed` does not contain.
   template <typename Keys>
   void RemoveMissing(const Keys& listed, StoreRevision revision) {
     for (Subscription& subscription : subscriptions_)
@@ -40,7 +41,7 @@
   struct Subscription {
     std::string key;
     Handler changed;
-    StoreRevision revision;  ///< Of the state that its reader heard of last.
+    StoreRevision revision;  ///< Revision of the state that was last passed to the handler.
   };
   const Subscription* Find(const std::string& key) const;
   Subscription* Find(const std::string& key);
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -9,11 +9,12 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kPlanKey = "moorfold/relays";
-/// Of a relay's word on who leads: several questions long.
+/// How long a relay's report of the leader is valid: several intervals between questions.
 constexpr milliseconds kReportedLeaderLifetime{3'000};
-/// A leader names relays within some seconds of its election, if it is of a build that knows any.
+/// A leader publishes a plan within a few seconds of its election, if its build supports relays.
 constexpr milliseconds kPlanTimeout{6'000};
-/// What was lost on its way is looked at so often: no sooner than it would be asked for again.
+/// Interval between checks for lost messages: not shorter than the time after which a question is
+/// sent again.
 constexpr milliseconds kRetryInterval{160};
 
 }  // namespace
@@ -92,7 +93,8 @@
 void RelayService::MakePlan(Time now) {
   if (leading_since_ == Time{}) leading_since_ = now;
   RelayPlan next = planner_.Plan(plan_, leading_since_, now);
-  // Whoever knows a later plan, of a leader that this one never heard of, would not take this one.
+  // A daemon that knows a later plan, from a leader that this one never heard of, would ignore this
+  // plan.
   const bool superseded = plan_.number > 0 && newest_plan_number_ > plan_.number;
   if (next.number == plan_.number && !superseded) return;
   next.number = std::max(next.number, newest_plan_number_ + 1);
@@ -150,7 +152,7 @@
 
 bool RelayService::AcceptFromRelay(const std::string& from) {
   const bool known = sources_.Contains(from);
-  if (!known) ports_.dropped("an answer of a daemon that is not asked as a relay", from);
+  if (!known) ports_.dropped("an answer from a daemon that is not one of the relays to ask", from);
   return known;
 }
 
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -17,70 +17,75 @@
 namespace moorfold {
 
 struct RelaySettings {
-  std::string zone;                ///< Of this daemon.
-  std::string address;             ///< "IP:PORT" at which it hears datagrams.
-  std::uint32_t from_daemons = 0;  ///< As RelayPlanner has it.
+  std::string zone;                ///< Zone of this daemon.
+  std::string address;             ///< "IP:PORT" at which this daemon receives datagrams.
+  std::uint32_t from_daemons = 0;  ///< As in RelayPlanner: smaller fleets need no relays.
 };
 
-/// This daemon's part in a fleet with relays: the leader chooses them, a relay answers what it
-/// knows of the store, all others ask one. One thread.
+/// This daemon's role in a fleet with relays: the leader chooses the relays, a relay answers
+/// questions about the store's contents, and all other daemons ask a relay. Not thread-safe.
 class RelayService {
  public:
   using Time = BootClock::time_point;
 
   struct Ports {
     std::function<void(const std::string& to, const FleetMessage& message)> send;
-    std::function<void(const FleetMessage& message)> broadcast;  ///< To all that report here.
-    /// @return a report that carries no demand, and asks what has changed where that can be asked.
+    std::function<void(const FleetMessage& message)>
+        broadcast;  ///< To all daemons that report to this one.
+    /// @return a report without demand, which carries a question about changes if one can be asked.
     std::function<DemandReport()> ask;
     std::function<bool()> leads;
-    /// Hears of a datagram that is left alone.
+    /// Called for a datagram that is ignored.
     std::function<void(const std::string& problem, const std::string& from)> dropped;
   };
 
   RelayService(boost::asio::io_context& context, KeyValueStore& store, StoreView& view,
                GatewayMetrics& metrics, EventLog& log, RelaySettings settings, Ports ports);
 
-  /// @return the store's key of the plan.
+  /// @return the key of the plan in the store.
   const std::string& key() const { return record_.key(); }
-  /// The store shows the plan so, or none.
+  /// Applies the plan as the store has it, or its absence.
   void ApplyRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
-  /// A daemon has told of a plan.
+  /// Adopts a plan that another daemon sent, if it is newer.
   void ApplyPlan(const RelayPlan& plan);
   const RelayPlan& plan() const { return plan_; }
-  /// @return whether other daemons ask this one.
+  /// @return whether the plan lists this daemon as a relay.
   bool IsRelay() const { return plan_.Names(settings_.address); }
-  /// @return whether this daemon watches the store for others.
+  /// @return whether this daemon watches the store on behalf of others.
   bool Watches() const { return watches_; }
-  /// @return whether this daemon asks relays.
+  /// @return whether this daemon sends its questions to relays.
   bool UsesRelays() const { return plan_.needed() && !watches_ && !ports_.leads(); }
 
-  /// A daemon has reported to this one.
+  /// Handles a report of another daemon.
   void TakeReport(const DemandReport& report);
-  /// The leader has told how many daemons there are. In a fleet that is to have relays their plan
-  /// follows: until then, and while it may, servers are left to them.
+  /// Handles the fleet size that the leader announced. In a fleet large enough for relays, a plan
+  /// is expected to follow: until it arrives or the wait ends, servers are not read from the store
+  /// but left to the relays.
   void NoteFleetSize(std::uint32_t daemons);
-  /// UsesRelays the relay what has changed.
+  /// Asks the relay what has changed.
   void RequestChanges();
-  /// A relay has answered that.
-  /// @return whether it is one that may be believed.
+  /// Handles a relay's answer about changes.
+  /// @return whether the sender is a relay that this daemon may believe.
   bool TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerServersQuestion(const ServersQuestion& question, const std::string& from);
   void HandleServersPage(const ServersPage& page, const std::string& from);
   void AnswerConfigurationQuestion(const ConfigurationQuestion& question, const std::string& from);
   void HandleConfigurationPart(const ConfigurationPart& part, const std::string& from);
-  /// UsesRelays for what is to be taken from a relay and was not asked for, or was not answered.
+  /// Sends the questions that are due: for servers or a configuration that are to be fetched from a
+  /// relay and were not requested yet, or whose request was not answered.
   void SendDueQuestions();
-  /// To be called a few times a second.
+  /// Runs periodic work; call it a few times a second.
   void Tick();
-  /// @return "IP:PORT" of the leader as a relay has told; empty: none has lately.
+  /// @return "IP:PORT" of the leader as a relay recently reported it; empty if none did.
   std::string ReportedLeader() const;
 
  private:
-  /// No plan has come: servers are read as in a fleet without relays.
+  /// Ends the wait for a plan if none arrived in time; servers are then read as in a fleet without
+  /// relays.
   void StopExpectingPlan();
   void MakePlan(Time now);
-  /// @return whether that daemon is a relay that this one may ask; else the datagram is dropped.
+  /// @return whether the sender is a relay of this daemon; otherwise the datagram is reported as
+  /// dropped.
   bool AcceptFromRelay(const std::string& from);
   void Apply();
 
@@ -88,16 +93,17 @@
   GatewayMetrics& metrics_;
   EventLog& log_;
   RelaySettings settings_;
-  std::optional<Time> plan_expected_since_;  ///< The fleet is large, as far as told.
+  std::optional<Time>
+      plan_expected_since_;  ///< When the announced fleet size first called for a plan.
   bool plan_wait_ended_ = false;
   Ports ports_;
   KeptRecord<RelayPlan> record_;
   RelayPlan plan_;
   RelayPlanner planner_;
   RelaySources sources_;
-  bool watches_ = false;                 ///< As `sources_` said last.
-  std::int64_t newest_plan_number_ = 0;  ///< That any daemon has told of.
-  Time leading_since_{};                 ///< Zero: this daemon does not lead.
+  bool watches_ = false;                 ///< Last result of `sources_`.
+  std::int64_t newest_plan_number_ = 0;  ///< Highest number of a plan that any daemon reported.
+  Time leading_since_{};                 ///< Zero if this daemon does not lead.
   std::string reported_leader_;
   Time reported_leader_at_{};
   BootTimer retry_timer_;
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -11,7 +11,8 @@
 constexpr std::chrono::milliseconds kMinSuspectDuration{300};
 constexpr std::chrono::milliseconds kMaxSuspectDuration{3'000};
 constexpr std::chrono::milliseconds kStatedLoadLifetime{1'000};
-constexpr double kErrorWeight = 0.2;  ///< Of the newest answer in the share of failures.
+constexpr double kErrorWeight =
+    0.2;  ///< Weight of the newest response in the moving average of failures.
 
 bool Names(const ServerRecord& record, const std::string& model) {
   return std::any_of(record.models.begin(), record.models.end(),
@@ -203,7 +204,7 @@
   server->MarkGone();
   Service& service = by_service_[server->record().service];
   std::erase(service.servers, server);
-  // A note may have put it under models that its record does not name.
+  // An override may have indexed it under models that its record does not list.
   for (auto& [model, holding] : service.by_model) std::erase(holding, server);
 }
 
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -19,11 +19,13 @@
 
 using SteadyTime = BootClock::time_point;
 
-/// The prompt parts that this daemon lately sent to one server, oldest first.
+/// Hashes of the prompt prefixes that this daemon recently sent to one server, oldest first. Used
+/// to estimate how much of a prompt the server has in its prefix cache.
 class RecentPrompts {
  public:
   void Remember(const ModelReference& model, const std::vector<PromptPart>& parts);
-  /// @return tokens of the longest run of leading parts that were sent for that model.
+  /// @return the number of tokens in the longest prefix of `parts` that was recently sent for that
+  /// model.
   double CachedPrefixTokens(const ModelReference& model,
                             const std::vector<PromptPart>& parts) const;
 
@@ -36,60 +38,62 @@
   std::unordered_map<std::uint64_t, std::uint32_t> counts_;
 };
 
-/// What this daemon knows of one life of a server: its record, and what its answers showed.
-/// One thread.
+/// State of one incarnation of a server, meaning one run of its process: its record in the store
+/// and what this daemon has learned from its responses.
+/// Not thread-safe.
 class Server {
  public:
   explicit Server(ServerRecord record) : record_(std::move(record)) {}
 
   const ServerRecord& record() const { return record_; }
-  /// Names what its connections belong to: they end with its life.
+  /// @return the key under which connections to this incarnation are pooled; they are not reused
+  /// for a later incarnation.
   std::string connection_key() const { return record_.id + '@' + std::to_string(record_.life); }
   void Update(ServerRecord record, SteadyTime now);
 
   bool Holds(const ModelReference& model, SteadyTime now) const;
-  /// The model cannot be asked for there, though the record may say so: an order on it is under
-  /// way.
-  /// @param life how long to believe it over the record.
+  /// Records that the server does not serve the model although its record may list it, because an
+  /// operation on the model is in progress.
+  /// @param life how long this overrides the record.
   void RecordModelMissing(const ModelReference& model, SteadyTime now,
                           std::chrono::milliseconds life);
 
-  /// Whether requests may be sent at all: neither leaving, proved gone, full nor out of reach.
+  /// Whether requests may be sent to the server: it is neither leaving, gone, full nor unreachable.
   bool Usable(SteadyTime now) const;
-  /// Whether it failed lately, so that others are to be preferred.
+  /// Whether a recent request to it failed, so that other servers are preferred.
   bool Suspect(SteadyTime now) const { return now < suspect_until_; }
-  /// Whether no connection to it came up lately.
+  /// Whether a connection to it could not be established recently.
   bool Unreachable(SteadyTime now) const { return now < unreachable_until_; }
-  /// The server said it leaves, or another incarnation answered at its address.
+  /// Records that the server has left or that another incarnation responded at its address.
   void MarkGone() { gone_ = true; }
   bool gone() const { return gone_; }
-  /// Whether its entry or an answer has said that it leaves.
+  /// Whether its entry in the store or a response states that it is leaving.
   bool ReportsLeaving() const { return record_.draining || standing_.leaving; }
-  /// Whether nothing more is to be sent there in this life.
+  /// Whether this incarnation must not receive any more requests.
   bool IsLeaving() const { return gone_ || ReportsLeaving(); }
-  /// Whether it wants nothing of this daemon now, though a request was let through to it before.
+  /// Whether it rejects requests of this daemon now, even one that was already admitted for it.
   bool RejectsRequests(SteadyTime now) const { return IsLeaving() || now < standing_.paused_until; }
 
-  /// Takes over what an answer of it says of itself, see ServerStanding::Take.
+  /// Applies what a response states about the server, see ServerStanding::Take.
   bool ApplyStatement(const ServerStatement& statement, SteadyTime sent_at, SteadyTime now,
                       bool from_run) {
     return standing_.Take(statement, sent_at, now, from_run);
   }
   const ServerStanding& standing() const { return standing_; }
-  /// Another daemon has heard that the server names no limit any more.
-  /// @param known_at what was heard here after that counts more.
+  /// Clears the rate limit after another daemon learned that the server no longer states one.
+  /// @param known_at when the other daemon learned it; a limit stated here after that time is kept.
   void ClearLimit(SteadyTime known_at) {
     if (standing_.limit_heard_at <= known_at) standing_.limit_per_second.reset();
   }
-  /// All that the server takes from all daemons is taken until then.
+  /// Records that the rate limit shared by all daemons is used up until then.
   void MarkAtLimit(SteadyTime until) { at_limit_until_ = until; }
-  /// @return when a request may be sent again; in the past: now. For servers that are usable
-  /// otherwise.
+  /// @return when the next request may be sent; a time in the past means now. Only meaningful for
+  /// servers that are usable otherwise.
   SteadyTime NextSendTime() const {
     const bool limited = standing_.limit_per_second.has_value();
     return std::max(standing_.paused_until, limited ? at_limit_until_ : SteadyTime{});
   }
-  /// What it had said in this life before this daemon lost sight of its entry.
+  /// Restores what this incarnation had stated before its entry was removed from the directory.
   void Restore(const ServerStanding& standing) { standing_ = standing; }
 
   void BeginRequest() { ++in_flight_; }
@@ -97,31 +101,33 @@
   std::uint32_t in_flight() const { return in_flight_; }
 
   void RecordSuccess();
-  /// An answer that says the request failed, though the server is reachable.
+  /// Records a response that reports a failed request; the server is reachable.
   void RecordErrorResponse();
-  /// No answer, a reset, or no connection.
+  /// Records a request without a response, a connection reset or a failed connection attempt.
   void RecordFailure(SteadyTime now);
-  /// No connection came up.
+  /// Records that a connection could not be established.
   void MarkUnreachable(SteadyTime now);
-  /// It turned a request away because it is full.
+  /// Records that it rejected a request because it is full.
   void MarkFull(SteadyTime now);
-  /// @return share of lately failed answers, 0 to 1.
+  /// @return the moving average of failed responses, 0 to 1.
   double error_share() const { return error_share_; }
 
-  /// Load as the server stated it.
+  /// Records the load that the server stated in a response.
   void NoteLoad(std::uint32_t running, std::uint32_t waiting, SteadyTime now);
-  /// @return requests expected there: the stated ones while that is recent, else only our own.
+  /// @return the expected number of requests at the server, based on the stated load while that is
+  /// recent, and on this daemon's own requests otherwise.
   double ExpectedRequests(SteadyTime now) const;
   double ExpectedWaiting(SteadyTime now) const;
 
-  /// Notes that the request's prompt was sent there.
+  /// Records that the prompt was sent to the server.
   void RecordPrompt(const ModelReference& model, const std::vector<PromptPart>& parts);
-  /// @return tokens of the longest run of leading parts that this daemon lately sent there.
+  /// @return the number of tokens in the longest prefix of `parts` that this daemon recently sent
+  /// to the server for that model.
   double CachedPrefixTokens(const ModelReference& model,
                             const std::vector<PromptPart>& parts) const;
 
  private:
-  friend class ServerDirectory;  ///< Its index has to know what a note adds.
+  friend class ServerDirectory;  ///< ServerDirectory must index each model that an override adds.
   struct ModelOverride {
     ModelReference model;
     SteadyTime until;
@@ -147,30 +153,31 @@
   double stated_waiting_ = 0;
   std::uint32_t in_flight_when_stated_ = 0;
   SteadyTime stated_at_{};
-  /// Null until the first prompt: most daemons of a large fleet never use most of its servers.
+  /// Null until the first prompt is sent: in a large fleet most daemons never use most servers.
   std::unique_ptr<RecentPrompts> prompts_;
 };
 using ServerPtr = std::shared_ptr<Server>;
 
-/// All servers that the store names, with an index of who may hold which model: what a request's
-/// choice looks at does not grow with servers that do not hold its model. One thread.
+/// All servers that have an entry in the store, indexed by service and model, so that the cost of
+/// choosing a server does not grow with servers that lack the model. Not thread-safe.
 class ServerDirectory {
  public:
   using Servers = std::vector<ServerPtr>;
-  /// In the order of their ids, so that they can be told piece by piece.
+  /// Ordered by id, so that the servers can be sent to other daemons page by page.
   using ById = std::map<std::string, ServerPtr>;
 
-  /// Takes what a server says now. A later life of it is another server; what an earlier life says
-  /// changes nothing.
-  /// @return whether it was taken.
+  /// Inserts or updates a server. A later incarnation replaces the server object; a record of an
+  /// earlier incarnation is ignored.
+  /// @return whether the record was applied.
   bool Put(ServerRecord record, SteadyTime now);
   void Remove(const std::string& id);
-  /// Notes that the model or adapter stands there now; the record follows later.
+  /// Records that the server has loaded the model or adapter, before its record in the store shows
+  /// it.
   void RecordModelHeld(const ServerPtr& server, const ModelReference& model, SteadyTime now);
   ServerPtr Find(const std::string& id) const;
   const Servers& Of(const std::string& service) const;
-  /// @return the service's servers whose records or notes name the model, and some whose notes have
-  /// lapsed: whether one holds it is asked of the server.
+  /// @return the service's servers whose records or overrides list the model. Servers with an
+  /// expired override may be included, so the caller checks Server::Holds.
   const Servers& ServersWithModel(const std::string& service, const std::string& model) const;
   const ById& all() const { return by_id_; }
 
@@ -180,7 +187,7 @@
     std::unordered_map<std::string, Servers> by_model;
   };
   void Index(const ServerPtr& server, const std::string& model);
-  /// The server's next record names other models.
+  /// Updates the index for the models that `next` adds or removes.
   void Reindex(const ServerPtr& server, const ServerRecord& next);
   void Retire(const ServerPtr& server);
 
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -11,13 +11,16 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kGracePeriod{2'000};
-/// Longer than a heartbeat, well below the bound within which no more may be sent to a lost server.
+/// Longer than a heartbeat, and well below the bound after which a lost server must not receive any
+/// more requests.
 constexpr milliseconds kRemovalDelay{1'400};
-/// Longer than three heartbeats, after which the store takes the entry of a silent server away.
+/// Longer than three heartbeats, after which the store removes the entry of a silent server.
 constexpr milliseconds kRestoredEntryDelay{5'000};
-/// Copies are some seconds old: what went longer ago stands in none.
+/// Copies of the store are a few seconds old, so none contains a server that was removed longer ago
+/// than this.
 constexpr std::chrono::seconds kRemovedServerRetention{60};
-/// More than leave within that time where 2,400 servers are replaced within the hour.
+/// More than the number of servers that leave within kRemovedServerRetention when 2,400 servers are
+/// replaced within an hour.
 constexpr std::size_t kMaxRemovedServers = 1'024;
 
 }  // namespace
@@ -37,8 +40,8 @@
   const bool restarted = known != nullptr && IsLaterLife(record.life, known->record().life);
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
-  const bool back = pending_removals_.erase(record.id) > 0;
-  if (known == nullptr || back || !SameForRequests(known->record(), record))
+  const bool reappeared = pending_removals_.erase(record.id) > 0;
+  if (known == nullptr || reappeared || !SameForRequests(known->record(), record))
     changes_.Note(record.id, revision, false);
   const std::string id = record.id;
   const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
@@ -87,7 +90,8 @@
   if (!leaves && !left_before_removal) return;
   record.draining = true;
   ++metrics_.leaving_kept;
-  // Its entry may call it ready with each heartbeat until the store is back.
+  // Logged once: the entry may state "ready" with each heartbeat until the store is reachable
+  // again.
   if (known != nullptr && known->standing().leaving && known->record().draining) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kServerStillLeaves)
                                      .Field(LogField::kServer, record.id)
--- a/src/gateway/server_entries.h
+++ b/src/gateway/server_entries.h
@@ -15,20 +15,22 @@
 
 namespace moorfold {
 
-/// What of the servers' entries in the store is believed: a server is used from its entry on, and
-/// until the entry says that it leaves or is gone.
+/// Decides how the servers' entries in the store affect the server directory. A server is used from
+/// the time its entry appears until the entry states that it is leaving or is removed.
 ///
-/// - A server that has said that it leaves is not used again in that life, whatever its entry says
-///   later: a store that comes back from an older copy shows what was.
-/// - Entries lapse while the store is away, and a copy lacks the newest: what is missing then is
-///   given a moment to be written again.
-/// - An entry that had gone and stands in a copy again proves no living server. It is used once it
-///   has outlasted the silence after which the store takes entries away.
+/// - A server that has stated that it is leaving is not used again in the same incarnation,
+///   whatever its entry states later: a store restored from an older copy shows outdated entries.
+/// - Entries expire during an outage of the store, and a restored copy lacks the newest ones.
+///   Servers whose entries are missing then stay in use for a short time so that they can write
+///   them again.
+/// - An entry that had been removed and reappears in a restored copy does not prove that its server
+///   is running. The server is used once the entry has outlasted the time after which the store
+///   removes the entries of silent servers.
 ///
-/// Keeps the directory of a FleetView and notes changes for relaying. One thread.
+/// Updates the ServerDirectory of a FleetView and records changes for relaying. Not thread-safe.
 class ServerEntries {
  public:
-  /// Hears of a server whose process has started again under its id.
+  /// Called for a server whose process has restarted under the same id.
   using RestartHandler = std::function<void(const std::string& id)>;
 
   ServerEntries(boost::asio::io_context& context, FleetView& view, GatewayMetrics& metrics,
@@ -36,27 +38,27 @@
 
   void OnRestart(RestartHandler handler) { restart_handler_ = std::move(handler); }
 
-  /// The store has this entry.
-  /// @param from_restored_store it stands in the first listing of a store that came back from a
-  /// copy.
+  /// Applies an entry of the store.
+  /// @param from_restored_store whether the entry comes from the first listing of a store that was
+  /// restored from a copy.
   void Put(ServerRecord record, StoreRevision revision, bool from_restored_store = false);
-  /// The entry is gone.
+  /// Applies the removal of an entry.
   void ApplyRemoval(const std::string& id, StoreRevision revision);
-  /// The entry names no server that could be used.
+  /// Applies an entry that cannot be parsed; its server is removed.
   void ApplyUnreadable(const std::string& id, StoreRevision revision);
-  /// A listing as of `revision` holds these entries and no others.
+  /// Removes the servers that are missing from a complete listing as of `revision`.
   void RemoveMissing(const std::unordered_set<std::string>& listed, StoreRevision revision);
-  /// From now on, and for a moment, entries may be missing of servers that live.
+  /// Begins a grace period in which the entries of running servers may be missing from the store.
   void BeginGracePeriod();
 
  private:
   struct RemovedServer {
     std::int64_t life = 0;
-    bool leaving = false;  ///< It had said so.
+    bool leaving = false;  ///< The server had stated that it was leaving.
     ServerStanding standing;
     SteadyTime at{};
   };
-  /// An entry of a copy that is not believed yet.
+  /// An entry of a restored copy that is not applied yet.
   struct DeferredEntry {
     ServerRecord record;
     StoreRevision revision;
@@ -64,8 +66,10 @@
   };
 
   bool IsEarlierLife(const ServerRecord& record, StoreRevision revision);
-  /// Takes what was known of the same life before into account.
+  /// Marks the record as leaving where the same incarnation was leaving before.
   void PreserveLeaving(ServerRecord& record, StoreRevision revision);
+  /// Defers an entry of a restored copy whose server was removed before.
+  /// @return whether it was deferred.
   bool DeferIfRestored(const ServerRecord& record, StoreRevision revision);
   const RemovedServer* FindRemoved(const ServerRecord& record) const;
   void Remove(const std::string& id, StoreRevision revision);
@@ -81,7 +85,7 @@
   ChangeLog& changes_;
   RestartHandler restart_handler_;
   SteadyTime grace_began_{};
-  /// Servers whose entries were missing in a time of grace, with the time of their removal.
+  /// Servers whose entries went missing during a grace period, with the time of their removal.
   std::map<std::string, SteadyTime> pending_removals_;
   std::map<std::string, DeferredEntry> deferred_;
   std::map<std::string, RemovedServer> removed_servers_;
--- a/src/gateway/server_statements.h
+++ b/src/gateway/server_statements.h
@@ -11,16 +11,16 @@
 
 namespace moorfold {
 
-/// One answer of a server, as far as it tells of the server itself.
+/// The parts of a server's response that state something about the server itself.
 struct ServerResponse {
   unsigned status = 0;
   const HttpHeaders& headers;
-  SteadyTime sent_at{};   ///< When its request was sent.
-  bool from_run = false;  ///< The server ran the request.
+  SteadyTime sent_at{};   ///< When the request was sent.
+  bool from_run = false;  ///< Whether the server executed the request.
 };
 
-/// Hears what servers say of themselves in answers to requests, orders and questions, and notes it
-/// with the server. One thread.
+/// Records what servers state about themselves in responses to requests, orders and queries, in
+/// their Server objects. Not thread-safe.
 class ServerStatements {
  public:
   using Handler = std::function<void(const Server& server)>;
@@ -28,7 +28,7 @@
   ServerStatements(const FleetProtocol& protocol, GatewayMetrics& metrics, EventLog& log)
       : protocol_(protocol), metrics_(metrics), log_(log) {}
 
-  /// Hears of servers that name no limit any more.
+  /// Sets the handler that is called when a server no longer states a rate limit.
   void OnLimitEnded(Handler handler) { limit_ended_handler_ = std::move(handler); }
 
   void Record(Server& server, const ServerResponse& answer);
--- a/src/gateway/servers_page.h
+++ b/src/gateway/servers_page.h
@@ -5,7 +5,7 @@
 
 namespace moorfold {
 
-/// Fills in the servers after `page.after`, as many as a datagram carries.
+/// Adds the servers after `page.after` to the page, as many as fit into one datagram.
 void FillServersPage(ServersPage& page, const ServerDirectory& servers);
 
 }  // namespace moorfold
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -12,24 +12,26 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kInitialRetryDelay{100};
-/// Only a silence of that length can have let entries of living servers lapse.
+/// Entries of running servers can only have expired if the store was unreachable for at least this
+/// long.
 constexpr milliseconds kMinOutage{2'000};
 
 std::int64_t MillisecondsBetween(SteadyTime from, SteadyTime to) {
   return std::chrono::duration_cast<milliseconds>(to - from).count();
 }
 
-/// Of the longest time between two reads: an answer that takes as long is worth a line. It is more
-/// than the store holds a read of changes without news.
+/// A read that takes longer than this fraction of the longest time between two reads is logged. It
+/// is longer than the time for which the store holds open a read of changes that has none to
+/// report.
 constexpr double kSlowReadFraction = 0.5;
 
-/// All keys: every key begins with the empty text.
+/// @return the range of all keys: every key is greater than the empty string.
 KeyRange AllKeys() { return {"", "\xff"}; }
 
-/// @return about how many bytes an entry takes in an answer.
+/// @return the approximate size of an entry in a response, in bytes.
 double EncodedSize(const KeyValue& entry) {
-  constexpr double kFieldOverhead = 80;           ///< Of fields around key and value.
-  constexpr double kBase64Expansion = 4.0 / 3.0;  ///< Values are bytes, sent as base64.
+  constexpr double kFieldOverhead = 80;           ///< Field names and numbers around key and value.
+  constexpr double kBase64Expansion = 4.0 / 3.0;  ///< Values are sent as base64.
   return kFieldOverhead + static_cast<double>(entry.key.size()) +
          kBase64Expansion * static_cast<double>(entry.value.size());
 }
@@ -55,9 +57,9 @@
       read_timer_(context),
       retry_delay_(kInitialRetryDelay) {}
 
-void StoreView::Start(std::string own_key, InternalKeys::Handler own_key_changed,
+void StoreView::Start(std::string internal_key, InternalKeys::Handler internal_key_changed,
                       ConfigurationHandler configured) {
-  Subscribe(std::move(own_key), std::move(own_key_changed));
+  Subscribe(std::move(internal_key), std::move(internal_key_changed));
   configuration_handler_ = std::move(configured);
   Read();
 }
@@ -82,7 +84,7 @@
 
 bool StoreView::RejectEarlierEra(StoreRevision revision) {
   if (revision.era >= state_.revision.era) return false;
-  RecordReadFailure({PlatformFault::kNoAnswer, "the answer is of an earlier era of the store"});
+  RecordReadFailure({PlatformFault::kNoAnswer, "the response is from an earlier era of the store"});
   return true;
 }
 
@@ -108,7 +110,7 @@
   if (due == SteadyTime::max()) return;
   read_timer_.expires_at(due);
   read_timer_.async_wait([this](const boost::system::error_code& error) {
-    // What came in the meantime may have put it off.
+    // Events since the timer was set may have postponed the read.
     if (!error && !state_.reading_since) Read();
   });
 }
@@ -146,9 +148,9 @@
 }
 
 KeyValueStore::Callback<RangeResult> StoreView::MakeReadCallback(
-    void (StoreView::*take)(const RangeResult&), ReadConsistency consistency) {
+    void (StoreView::*apply_result)(const RangeResult&), ReadConsistency consistency) {
   active_read_ = std::make_shared<ActiveRead>();
-  return [this, take, consistency,
+  return [this, apply_result, consistency,
           wanted = std::weak_ptr(active_read_)](const Outcome<RangeResult>& listing) {
     if (wanted.expired()) return;
     RecordReadTime();
@@ -159,14 +161,14 @@
     if (RejectEarlierEra(listing.value().revision)) return;
     RecordContact(BootClock::now());
     if (consistency == ReadConsistency::kLinearizable) CheckRevisionRead(listing.value().revision);
-    (this->*take)(listing.value());
+    (this->*apply_result)(listing.value());
     ScheduleRead();
   };
 }
 
-void StoreView::ReadRange(KeyRange range, void (StoreView::*take)(const RangeResult&),
+void StoreView::ReadRange(KeyRange range, void (StoreView::*apply_result)(const RangeResult&),
                           ReadConsistency consistency) {
-  KeyValueStore::Callback<RangeResult> read = MakeReadCallback(take, consistency);
+  KeyValueStore::Callback<RangeResult> read = MakeReadCallback(apply_result, consistency);
   store_.RangeWhile([wanted = std::weak_ptr(active_read_)] { return !wanted.expired(); },
                     std::move(range), consistency, std::move(read));
 }
@@ -239,7 +241,7 @@
   for (const KeyValue& entry : listing.entries) {
     if (!entry.key.starts_with(prefix)) continue;
     listed.insert(entry.key.substr(prefix.size()));
-    // Changes up to the revision known were taken over before.
+    // Changes up to the known revision were applied before.
     if (!state_.listed || entry.mod_revision > known) ApplyEntry(entry);
   }
   servers_.RemoveMissing(listed, listing.revision);
@@ -265,7 +267,8 @@
   double bytes = 0;
   double entries = 0;
   for (const KeyValue& entry : listing.entries) {
-    // How many versions lie between is not told: the rate that was measured stands.
+    // The number of configuration versions in between is unknown, so the rate measured before is
+    // kept.
     if (entry.key == configuration && entry.mod_revision != configuration_entry_revision_)
       return std::nullopt;
     if (entry.key == configuration) continue;
@@ -277,8 +280,8 @@
   return static_cast<double>(changes) * bytes / entries;
 }
 
-/// One watch call: what has changed since, or nothing new for a moment. A watch that went on would
-/// answer with each heartbeat of a server.
+/// Makes one short watch call, which returns the changes since the known revision or, after a short
+/// wait, none. A long-lived watch would return an event for each heartbeat of a server.
 void StoreView::ReadChanges() {
   watch_ = store_.Watch(
       AllKeys(), state_.revision.Next(),
@@ -300,7 +303,7 @@
   double bytes = 0;
   for (const WatchEvent& event : batch.events) {
     bytes += EncodedSize(event.entry);
-    // What a watcher relayed meanwhile is newer than what this read shows.
+    // Changes that were relayed during the read are newer than what it returns.
     const bool older = event.entry.key.starts_with(prefix) && event.entry.mod_revision <= known;
     if (older) continue;
     if (event.deleted)
@@ -342,9 +345,9 @@
 }
 
 void StoreView::ApplyEntry(const KeyValue& entry) {
-  // Readers of moorfold's own keys decide by themselves what follows from a record without sense.
+  // Handlers of internal keys decide themselves how to treat an invalid value.
   if (!entry.readable && !internal_keys_.Contains(entry.key)) {
-    ApplyUnreadable(entry, "its value is no text in base 64, or it has no revision");
+    ApplyUnreadable(entry, "the value is not valid base64, or the revision is missing");
     return;
   }
   try {
@@ -368,7 +371,7 @@
   const bool configuration = entry.key == protocol_.layout().configuration_key;
   const bool server = entry.key.starts_with(prefix);
   if (!configuration && !server && !internal_keys_.Contains(entry.key)) return;
-  // Listings show an entry again and again: it is told of once.
+  // Each listing returns the entry again, but it is reported only once.
   const bool already_reported = configuration && configuration_uncertain_since_ &&
                                 entry.mod_revision == configuration_entry_revision_;
   if (configuration) {
@@ -396,8 +399,8 @@
     configuration_bytes_ = entry.value;
   }
   if (configuration->version < held) {
-    // The store shows what was before the version held: none newer is known of until it has it
-    // again.
+    // The store holds an older version than the one in use, which is therefore not known to be the
+    // newest until the store has it again.
     MarkConfigurationUncertain();
     return;
   }
@@ -436,7 +439,7 @@
 
 void StoreView::RecordContact(SteadyTime current_at) {
   const auto silence = current_at - last_contact_;
-  // Without a failed read, the ordinary time between two reads is no sign of an outage.
+  // Without a failed read, the usual time between two reads does not indicate an outage.
   const auto outage = failed_reads_ > 0 ? kMinOutage : kMinOutage + settings_.longest_age;
   if (ever_connected_ && silence > outage) servers_.BeginGracePeriod();
   if (!store_connected_)
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -23,11 +23,13 @@
 
 namespace moorfold {
 
-/// Keeps a FleetView up to date: from listings of the store and short reads of what has changed in
-/// it, and from changes that the leader relays (see relay/follow_state.h for when which).
-/// While the store is out of reach, everything known stays known. A configuration is taken only
-/// with a higher version, and a key only with a higher revision, so nothing goes back; a revision
-/// of a later era is higher than any before (see ports/store_revision.h). One thread.
+/// Keeps a FleetView up to date from listings of the store, from short reads of recent changes, and
+/// from changes that the leader or a relay forwards (relay/follow_state.h decides which source is
+/// used when).
+/// While the store is unreachable, the view keeps everything that it knows. A configuration is
+/// applied only with a higher version and a key only with a higher revision, so the view never goes
+/// back; a revision of a later era is higher than any of an earlier one (see
+/// ports/store_revision.h). Not thread-safe.
 class StoreView {
  public:
   using ConfigurationHandler = std::function<void(const RoutingConfiguration&)>;
@@ -35,121 +37,133 @@
   StoreView(boost::asio::io_context& context, KeyValueStore& store, const FleetProtocol& protocol,
             FleetView& view, GatewayMetrics& metrics, EventLog& log, follow::Settings settings);
 
-  /// @param own_key the key of moorfold's own that `own_key_changed` hears of.
-  void Start(std::string own_key, InternalKeys::Handler own_key_changed,
+  /// Subscribes to a first internal key and begins to read the store.
+  /// @param internal_key the key of moorfold itself whose changes are passed to
+  /// `internal_key_changed`.
+  void Start(std::string internal_key, InternalKeys::Handler internal_key_changed,
              ConfigurationHandler configured);
 
-  /// One more of moorfold's own keys. Before Start.
-  void Subscribe(std::string own_key, InternalKeys::Handler changed) {
-    internal_keys_.Subscribe(std::move(own_key), std::move(changed));
+  /// Subscribes to a further internal key. @pre Start was not called yet.
+  void Subscribe(std::string internal_key, InternalKeys::Handler changed) {
+    internal_keys_.Subscribe(std::move(internal_key), std::move(changed));
   }
 
-  /// Before Start.
+  /// Sets the handler for restarted servers. @pre Start was not called yet.
   void OnRestart(ServerEntries::RestartHandler handler) { servers_.OnRestart(std::move(handler)); }
 
-  /// Whether other daemons follow this one: it reads the store more often then.
+  /// Sets whether other daemons follow this one, which then reads the store more often.
   void SetWatching(bool watches);
-  /// @return what to ask the watcher, once the store was listed.
+  /// @return the question for the watching daemon; nothing before the store was listed.
   std::optional<ChangeQuestion> MakeChangeQuestion() const;
-  /// @param daemons in the fleet, as far as known. @pre this daemon watches.
-  /// @param parts whether the asker takes parts of what has changed.
+  /// @return the answer to the question of a follower.
+  /// @param daemons number of daemons in the fleet, as far as known. @pre this daemon watches the
+  /// store.
+  /// @param parts whether the asking daemon accepts a part of the changes.
   ChangeAnswer MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
                                 bool parts) const;
-  /// Some other call of the store, or another daemon, has told of this era.
+  /// Records an era of the store that another store call or another daemon reported.
   void ObserveEra(std::int64_t era);
-  /// Takes over what a watcher has answered.
+  /// Applies the answer of a watching daemon.
   void TakeAnswer(const ChangeAnswer& answer);
 
-  /// Whether other daemons ask this one though it does not watch the store itself.
+  /// Sets whether other daemons send their questions to this one although it does not watch the
+  /// store itself.
   void SetServing(bool serves) { serves_ = serves; }
-  /// Whether there are relays for this daemon to ask; nothing is known of that before.
+  /// Sets whether there are relays that this daemon can ask; unknown before the first call.
   void SetRelays(bool named);
-  /// @return whether the store holds more servers than one page, and none are known of yet.
+  /// @return whether the store holds more servers than fit on one page and none of them is known
+  /// yet.
   bool AwaitsServers() const { return state_.begun && !state_.listed; }
-  /// @return the question to a relay that is to be sent now, where all servers are to be taken from
-  /// one.
+  /// @return the question to send to a relay now, if all servers are to be fetched from one.
   std::optional<ServersQuestion> NextServersQuestion();
-  /// @return whether the last read of the store was answered, or none has been.
+  /// @return whether the last read of the store succeeded; true before the first one.
   bool StoreReachable() const { return failed_reads_ == 0; }
-  /// @return the question to a relay for a part of the configuration, where it is to be taken from
-  /// one.
+  /// @return the question for a part of the configuration, if it is to be fetched from a relay.
   std::optional<ConfigurationQuestion> NextConfigurationQuestion();
-  /// @return that part; nothing where this daemon holds no such configuration.
+  /// @return the requested part; nothing if this daemon does not hold that configuration.
   std::optional<ConfigurationPart> MakeConfigurationPart(
       const ConfigurationQuestion& question) const;
-  /// Takes over what a relay has answered.
+  /// Applies a part of the configuration that a relay sent.
   void ApplyConfigurationPart(const ConfigurationPart& part);
-  /// @return whether parts of a configuration are asked for.
+  /// @return whether the configuration is being fetched from a relay.
   bool FetchesConfiguration() const { return configuration_reader_.running(); }
-  /// @return whether pages of a relay are asked for.
+  /// @return whether the servers are being fetched from a relay.
   bool FetchesServers() const { return snapshot_.running(); }
-  /// @return the page asked for, of what this daemon knows.
+  /// @return the requested page of the servers that this daemon knows.
   ServersPage MakeServersPage(const ServersQuestion& question) const;
-  /// Takes over what a relay has answered.
+  /// Applies a page of servers that a relay sent.
   /// @param from "IP:PORT" of the relay.
-  /// @return whether it was a page that was asked for.
+  /// @return whether the page was requested, and whether it was the last.
   SnapshotReader::Taken ApplyServersPage(const ServersPage& page, const std::string& from);
 
  private:
   using Milliseconds = std::chrono::milliseconds;
 
-  /// @return whether others may rely on what is known here.
+  /// @return whether the view is complete enough to answer other daemons.
   bool CanServe() const {
     const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationKept();
     return whole && (state_.watches || serves_);
   }
-  /// @return whether relayed changes are to be taken over.
+  /// Advances the follow state by one event.
+  /// @return whether relayed changes are to be applied.
   bool ApplyEvent(const follow::Event& event);
   void ScheduleRead();
   void Read();
-  /// @return what to do with the answer to a read of a range.
-  KeyValueStore::Callback<RangeResult> MakeReadCallback(void (StoreView::*take)(const RangeResult&),
-                                                        ReadConsistency consistency);
-  /// Reads what is now under `range`, and hands it to `take`.
-  void ReadRange(KeyRange range, void (StoreView::*take)(const RangeResult&),
+  /// @return the callback for a read of a range; it passes a valid result to `apply_result`.
+  KeyValueStore::Callback<RangeResult> MakeReadCallback(
+      void (StoreView::*apply_result)(const RangeResult&), ReadConsistency consistency);
+  /// Reads the entries in `range` and passes them to `apply_result`.
+  void ReadRange(KeyRange range, void (StoreView::*apply_result)(const RangeResult&),
                  ReadConsistency consistency = ReadConsistency::kLinearizable);
-  /// Reads the first page of a first listing: in a large fleet the rest comes from a relay.
+  /// Reads only the first page of the first listing: in a large fleet the remaining servers are
+  /// fetched from a relay.
   void ReadFirstPage();
   void ApplyFirstPage(const RangeResult& page);
-  /// @return whether nothing but servers can stand after the page.
+  /// @return whether only entries of servers can follow the page.
   bool OnlyServersFollow(const RangeResult& page) const;
   void ApplyListing(const RangeResult& listing);
   void ApplyServers(const RangeResult& listing);
-  /// Takes the configuration and moorfold's own keys of a listing over.
+  /// Applies the configuration and the internal keys of a listing.
   void ApplyOtherEntries(const RangeResult& listing);
-  /// Takes the servers of a listing over: what has changed, and who is missing.
+  /// Applies the servers of a listing: changed entries and missing servers.
   void ApplyServerEntries(const RangeResult& listing);
   void ApplyConfigurationRead(const RangeResult& listing);
-  /// @return of the configuration held; -1 without one.
+  /// @return the version of the configuration in use; -1 without one.
   std::int64_t Version() const;
   void ReadChanges();
   void ApplyWatchBatch(const WatchBatch& batch);
-  /// @return about how many bytes the changes since the revision known would have been.
+  /// @return an estimate of the bytes that the changes since the known revision would have taken;
+  /// nothing if it cannot be estimated.
   std::optional<double> EstimateChangeBytes(const RangeResult& listing) const;
   void ApplyServerChange(const ServerChange& change);
-  /// All pages of a relay were taken over.
+  /// Completes a snapshot after its last page.
   void FinishSnapshot();
   void LogSourceChange(bool relayed);
-  /// Tells that the store's revision is lower than what this daemon holds for known.
+  /// Updates the metrics of the store's era and revision; logs a store that went back to an older
+  /// state.
   void CheckRevisionRead(StoreRevision revision);
-  /// @return whether an answer is older than what is known; it then counts as a failed read.
+  /// @return whether a response is of an earlier era than the known one; it is then recorded as a
+  /// failed read.
   bool RejectEarlierEra(StoreRevision revision);
-  /// What the store shows in place of the configuration held is none, or an older one.
+  /// Records that the store's configuration entry is missing, unreadable or older than the
+  /// configuration in use.
   void MarkConfigurationUncertain();
   void NotifyChanged();
   void ApplyEntry(const KeyValue& entry);
-  /// @throws std::exception where the entry cannot be read.
+  /// @throws std::exception if the entry cannot be parsed.
   void ApplyReadable(const KeyValue& entry);
-  /// What cannot be read names no server, and says nothing of the configuration.
+  /// Handles an entry that cannot be parsed: it identifies no server and leaves the configuration
+  /// in use unconfirmed.
   void ApplyUnreadable(const KeyValue& entry, const std::string& problem);
   void PublishAges();
   void ApplyRemoval(const std::string& key, StoreRevision revision);
   void ApplyConfiguration(const KeyValue& entry);
   void ApplyServer(const KeyValue& entry);
-  /// @param current_at when the store had nothing newer than what is known now.
+  /// Records that the store was reached.
+  /// @param current_at the time as of which the view is now known to be complete.
   void RecordContact(SteadyTime current_at);
   void RecordReadFailure(const PlatformFailure& failure);
-  /// Tells how long the read under way has taken until now, when it was answered or failed.
+  /// Records the duration of the read in progress when it succeeded or failed, and logs it if slow.
   void RecordReadTime();
 
   KeyValueStore& store_;
@@ -161,32 +175,32 @@
   ChangeLog changes_;
   ServerEntries servers_;
   ConfigurationHandler configuration_handler_;
-  /// The store shows nothing readable in the place of the configuration held, or an older one: none
-  /// newer than the one held existed at that time.
+  /// Set while the store's configuration entry is missing, unreadable or older than the
+  /// configuration in use: the time as of which that configuration was last known to be the newest.
   std::optional<SteadyTime> configuration_uncertain_since_;
   follow::Settings settings_;
   follow::State state_;
   SnapshotReader snapshot_;
   ConfigurationReader configuration_reader_;
-  std::string configuration_bytes_;  ///< Of the configuration held, as the store has it.
+  std::string configuration_bytes_;  ///< The configuration in use, encoded as in the store.
   bool serves_ = false;
   std::unique_ptr<WatchHandle> watch_;
   struct ActiveRead {};
-  /// Lives as long as the range under way is wanted.
+  /// Valid while the result of the read in progress is wanted.
   std::shared_ptr<ActiveRead> active_read_;
-  std::int64_t announced_version_ = -1;  ///< Of the newest configuration that a watcher told of.
-  std::int64_t expected_version_ = -1;   ///< The same when the read under way began.
-  StoreRevision revision_before_read_;   ///< All changes up to it, when the read under way began.
-  StoreRevision configuration_entry_revision_;  ///< Of the entry that was read last.
+  std::int64_t announced_version_ = -1;  ///< Newest version that another daemon announced.
+  std::int64_t expected_version_ = -1;   ///< `announced_version_` when the read in progress began.
+  StoreRevision revision_before_read_;   ///< The known revision when the read in progress began.
+  StoreRevision configuration_entry_revision_;  ///< Of the configuration entry that was read last.
   BootTimer read_timer_;
   Milliseconds retry_delay_;
-  std::optional<bool> last_update_relayed_;  ///< Whether the last news came from a watcher.
+  std::optional<bool> last_update_relayed_;  ///< Relayed by a daemon, not read from the store.
   bool store_connected_ = false;
-  bool ever_connected_ = false;     ///< At least once in this life.
-  std::uint32_t failed_reads_ = 0;  ///< Since the last contact.
-  std::string last_error_;          ///< Of the last failed read since then.
-  SteadyTime last_contact_{};       ///< The store was in touch then.
-  bool listing_new_era_ = false;    ///< While the first listing of a later era is taken over.
+  bool ever_connected_ = false;     ///< Since this process started.
+  std::uint32_t failed_reads_ = 0;  ///< Since the store was last reached.
+  std::string last_error_;          ///< Error of the last failed read since then.
+  SteadyTime last_contact_{};       ///< When the store was last known to be reachable.
+  bool listing_new_era_ = false;    ///< True while the first listing of a later era is applied.
 };
 
 }  // namespace moorfold
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -1,5 +1,5 @@
-// What a view tells other daemons, and takes from them; store_view.cc has what it reads of the
-// store.
+// The part of StoreView that exchanges questions and answers with other daemons; store_view.cc
+// reads the store.
 
 #include <algorithm>
 #include <unordered_set>
@@ -29,8 +29,9 @@
   ChangeAnswer answer;
   answer.asked_at_us = question.asked_at_us;
   answer.daemons = daemons;
-  // A follower takes the version stated here for the newest as of the revision stated here. One
-  // that tells no era of its revision could not tell what an answer is worth: it reads by itself.
+  // A follower treats the version in the answer as the newest as of the revision in the answer. A
+  // question without an era comes from a daemon that cannot judge the validity of an answer, so it
+  // is declined and that daemon reads the store itself.
   const bool understood = question.revision.era != kEraUntold;
   answer.relays = understood && CanServe();
   if (!answer.relays) return answer;
@@ -79,11 +80,11 @@
   using Taken = SnapshotReader::Taken;
   const Taken taken = snapshot_.Take(page, from);
   if (taken == Taken::kIgnored || taken == Taken::kDeclined) return taken;
-  // What the page does not name between its first and its last server is not there any more.
+  // A known server within the page's range of ids that the page does not list has been removed.
   std::unordered_set<std::string> named;
   for (ServerChange server : page.servers) {
     named.insert(server.record.id);
-    server.revision = page.revision;  // It changed at some revision up to this one.
+    server.revision = page.revision;  // The exact revision is unknown; it is not higher than this.
     ApplyServerChange(server);
   }
   std::vector<std::string> missing;
--- a/test/gateway/catching_up_test.cc
+++ b/test/gateway/catching_up_test.cc
@@ -1,5 +1,6 @@
-// A daemon that has fallen behind the store, over sockets: the shipped view and store client, the
-// store's emulator, and a link of 10 Mbit/s. Configurations change all the while.
+// Checks over sockets that a daemon that has fallen behind the store catches up, with the
+// production view and store client, the emulated store and a link of 10 Mbit/s. Configurations
+// change throughout.
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -20,7 +21,7 @@
 
 using std::chrono::milliseconds;
 
-/// Of the machine and the day on which this was seen (docs/incidents/jazda-inc1-drain.md).
+/// As in the incident in which this was observed (docs/incidents/jazda-inc1-drain.md).
 constexpr double kLinkBytesPerSecond = 1'250'000;
 constexpr milliseconds kConfigurationEvery{150};
 constexpr std::size_t kConfigurationBytes = 42'000;
@@ -38,7 +39,7 @@
   return text + "]}";
 }
 
-/// A daemon behind a link that can be cut or slow.
+/// A daemon behind a link that can be interrupted or slowed down.
 struct DaemonBehindLink {
   DaemonBehindLink(boost::asio::io_context& io, StoreEmulator& emulator)
       : link(io, emulator.endpoint()),
@@ -102,13 +103,13 @@
   DaemonBehindLink daemon;
 };
 
-TEST_CASE("A daemon that was cut off catches up while configurations go on changing") {
+TEST_CASE("A daemon that was disconnected catches up while configurations keep changing") {
   CatchingUpFixture fixture;
   REQUIRE(fixture.RunUntil([&] { return fixture.daemon.Version() > 0; }, milliseconds(5'000)));
   fixture.RunFor(milliseconds(2'000));
   CHECK(fixture.version - fixture.daemon.Version() <= kStalenessBound / kConfigurationEvery);
   const milliseconds outage = GENERATE(milliseconds(500), milliseconds(4'000), milliseconds(9'000));
-  INFO("cut off for " << outage.count() << " ms");
+  INFO("disconnected for " << outage.count() << " ms");
   fixture.daemon.link.SetMode(ProxyMode::kRefuse);
   fixture.RunFor(outage);
   fixture.daemon.link.SetMode(ProxyMode::kPass);
@@ -119,30 +120,30 @@
                          milliseconds(500)));
 }
 
-TEST_CASE("An answer that keeps coming is read to its end, however slow the link") {
+TEST_CASE("A response that keeps arriving is read to its end however slow the link is") {
   CatchingUpFixture fixture;
-  // A listing takes two seconds on this link, twice the time within which an answer has to begin.
+  // A listing takes two seconds on this link, twice the time within which a response must begin.
   fixture.daemon.link.SetBytesPerSecond(kConfigurationBytes * 4.0 / 3 / 2);
   CHECK(fixture.RunUntil([&] { return fixture.daemon.Version() > 0; }, milliseconds(6'000)));
 }
 
-TEST_CASE(
-    "A connection to the store that goes silent for good delays knowledge by one time limit") {
+TEST_CASE("A store connection that goes silent delays updates by one timeout only") {
   CatchingUpFixture fixture;
   REQUIRE(fixture.RunUntil([&] { return fixture.daemon.Version() > 0; }, milliseconds(5'000)));
-  int read = 0;  // At the same time, so that several connections rest.
+  int read = 0;  // Concurrent reads, so that several idle connections remain.
   for (int connection = 0; connection < 3; ++connection)
     fixture.daemon.client.Range({"servers/i-1", ""}, [&](const Outcome<RangeResult>&) { ++read; });
   REQUIRE(fixture.RunUntil([&] { return read == 3; }, milliseconds(5'000)));
   fixture.RunFor(milliseconds(2'000));
   fixture.daemon.link.SilenceStanding();
   fixture.PutServer("i-1", "draining");
-  // The pause between two reads, one call's limit, the pause before the next, that read.
+  // The interval between two reads, one call's timeout, the delay before the next read, and that
+  // read.
   const milliseconds bound(1'650 + 1'000 + 100 + 200);
   CHECK(fixture.RunUntil([&] { return fixture.daemon.DrainingOrGone("i-1"); }, bound));
 }
 
-TEST_CASE("A newer configuration does not hold back what is relayed of servers") {
+TEST_CASE("A newer configuration does not delay relayed changes of servers") {
   using namespace follow;
   const Time start{std::chrono::hours(1)};
   State state = Reduce(kSettings, {}, ReadBegun{ReadKind::kListing}, start).state;
@@ -155,7 +156,7 @@
   const Decision decision = Reduce(kSettings, state, answer, start + milliseconds(1'000));
   CHECK(decision.apply);
   CHECK(decision.state.revision == At(12));
-  // The configuration is still to be read, soon.
+  // The configuration must still be read soon.
   CHECK(NextRead(kSettings, decision.state) <= start + milliseconds(1'100));
 }
 
--- a/test/gateway/configuration_in_force_test.cc
+++ b/test/gateway/configuration_in_force_test.cc
@@ -1,16 +1,15 @@
-// Users saw requests run by a service that only an older configuration names, seconds after the
-// store had acknowledged the newer one; with the store sound and the daemons running. Only those
-// daemons were struck whose last read of the store had begun just before the acknowledgement, all
-// of them together. Order of events: a read of the store is answered; a configuration that moves a
-// route is acknowledged; the next read's answer is lost or late; the read is given up after 1.0 to
-// 1.5 s; the one after it brings the configuration, 2.2 to 2.7 s after the acknowledgement, where
-// 2.0 s are allowed. In between, and after any pause of the process, requests went by the routes at
-// hand, however old.
+// Guards against requests that are executed by a service that only an outdated configuration lists,
+// after the bound of 2.0 s within which a newer one must be in force. It happened with the store
+// and the daemons healthy, in those daemons whose last read of the store began just before the
+// newer configuration was acknowledged, in all of them together: the next read's response was lost
+// or late, the read was given up after 1.0 to 1.5 s, and the following read returned the
+// configuration 2.2 to 2.7 s after the acknowledgement. Meanwhile, and after any pause of the
+// process, requests used the known routes regardless of their age.
 //
-// Cause: the time that a configuration may take was spent by parts that did not know of each other:
-// 1.1 s between reads, 1.0 to 1.5 s until a read was given up, 0.1 s before the next; and no part
-// looked at the age of the routes before it used them. Evidence: these tests, which fail when one
-// answer of the store is lost, when one is late, and when the process stands still.
+// Cause: the delays added up, 1.1 s between reads, 1.0 to 1.5 s until a read was given up and 0.1 s
+// before the next, in components that did not know of each other, and no component checked the age
+// of the routes before it used them. The tests lose or delay one response of the store, or block
+// the process.
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -37,7 +36,7 @@
 constexpr const char* kHost = "host.example";
 constexpr milliseconds kBound{2'000};
 
-/// Version `version` of a configuration whose one route leads to `service`.
+/// @return version `version` of a configuration whose only route leads to `service`.
 std::string ConfigurationText(int version, const std::string& service) {
   const json::object route = {{"name", "moved"},    {"host", kHost},      {"pathPrefix", "/moved/"},
                               {"type", "safe"},     {"timeoutMs", 4'000}, {"targetMs", 200},
@@ -48,7 +47,7 @@
       json::value{{"version", version}, {"routes", json::array{route}}, {"services", services}});
 }
 
-/// A whole gateway on a thread of its own: it can stand still while all else goes on.
+/// A complete gateway on its own thread, which can be blocked while everything else runs.
 class GatewayOnThread {
  public:
   explicit GatewayOnThread(Endpoint store_address)
@@ -89,16 +88,16 @@
   std::thread thread_;
 };
 
-/// A request on the client's one standing connection, and who ran it: the first server of the old
-/// service, or any other.
+/// A request on the client's persistent connection, and whether the first server of the old service
+/// executed it.
 struct ServedRequest {
   BootClock::time_point sent;
   unsigned status = 0;
   bool by_old_server = false;
 };
 
-/// A store, a server of each service, a gateway, and a client that sends one request after the
-/// other on one connection.
+/// A store, a server of each service, a gateway, and a client that sends one request after another
+/// on one connection. The tests move the route from the old service to the new one.
 struct MovedRoute {
   MovedRoute()
       : checker(PromiseChecker::Bounds{}),
@@ -114,7 +113,7 @@
     gateway = std::make_unique<GatewayOnThread>(store.endpoint());
     boost::asio::co_spawn(context, SendRequests(), boost::asio::detached);
     REQUIRE(RunUntil([&] { return !served.empty() && served.back().by_old_server; }));
-    RunFor(milliseconds(1'500));  // Past what a start reads.
+    RunFor(milliseconds(1'500));  // Until the reads at startup are over.
   }
   ~MovedRoute() {
     gateway.reset();
@@ -138,17 +137,17 @@
   void RunFor(milliseconds time) {
     RunUntil([] { return false; }, time);
   }
-  /// Until the store has just answered a read of the gateway.
+  /// Waits until the store has just responded to a read of the gateway.
   void AwaitRead() {
     const std::uint64_t before = store.reads_answered();
     REQUIRE(RunUntil([&] { return store.reads_answered() > before; }));
-    RunFor(milliseconds(20));  // Until the answer has arrived.
+    RunFor(milliseconds(20));  // Until the response has arrived.
   }
   void MoveRoute() {
     store.Put("op/config", ConfigurationText(2, "new"));
     changed_at = BootClock::now();
   }
-  /// The first server of the old service leaves.
+  /// Makes the first server of the old service leave.
   void DrainOldServer() {
     old_server.Drain();
     changed_at = BootClock::now();
@@ -180,7 +179,7 @@
       co_await Sleep(kPause);
     }
   }
-  /// @return of the requests sent after the bound had passed, how many the old server ran.
+  /// @return the number of requests sent after the bound had passed that the old server executed.
   int CountRunByOldServer() const {
     int count = 0;
     for (const ServedRequest& each : served)
@@ -205,15 +204,15 @@
   StoreEmulator store;
   ServerEmulator old_server;
   ServerEmulator new_server;
-  ServerEmulator spare_server;  ///< Of the old service; tests that need it start it.
+  ServerEmulator spare_server;  ///< Of the old service; started only by the tests that need it.
   HttpClient client;
   std::unique_ptr<GatewayOnThread> gateway;
   std::vector<ServedRequest> served;
   BootClock::time_point changed_at{};
-  bool client_paused = false;  ///< The client sends nothing; its connection stands.
+  bool client_paused = false;  ///< The client sends no requests but keeps its connection.
 };
 
-TEST_CASE("A configuration is in force in its time though an answer of the store is lost") {
+TEST_CASE("A configuration is in force within its bound although a store response is lost") {
   MovedRoute route;
   route.AwaitRead();
   route.MoveRoute();
@@ -221,7 +220,7 @@
   route.CheckChangeInForce();
 }
 
-TEST_CASE("A configuration is in force in its time though an answer of the store is late") {
+TEST_CASE("A configuration is in force within its bound although a store response is late") {
   for (const milliseconds late : {milliseconds(700), milliseconds(950), milliseconds(1'500)}) {
     CAPTURE(late.count());
     MovedRoute route;
@@ -232,8 +231,7 @@
   }
 }
 
-TEST_CASE(
-    "A server that leaves is used no more in its time though an answer of the store is lost") {
+TEST_CASE("A leaving server is no longer used after its bound although a store response is lost") {
   MovedRoute route;
   route.spare_server.Start();
   route.RunFor(milliseconds(1'500));
@@ -243,14 +241,14 @@
   route.CheckChangeInForce();
 }
 
-TEST_CASE("A daemon that stood still reads the store before it uses the routes that it knew") {
+TEST_CASE("A daemon that was suspended reads the store before it uses its known routes") {
   MovedRoute route;
   route.client_paused = true;
   route.AwaitRead();
   route.MoveRoute();
   route.gateway->Stall(milliseconds(2'800));
   route.RunFor(milliseconds(2'300));
-  route.client_paused = false;  // Its request waits in the daemon's socket.
+  route.client_paused = false;  // The request waits in the daemon's socket.
   route.CheckChangeInForce();
 }
 
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -1,5 +1,6 @@
-// A store that came back from an older copy names servers as they were, and lacks what was written
-// since: what a daemon knows of them by then holds, and what is ours is written again.
+// After a store is restored from an older copy, it contains outdated server entries and lacks
+// recent ones. These tests check that a daemon then keeps what it knows of the servers, and that
+// moorfold's own records are written again.
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-/// A view on a store with two servers, of which copies can be brought back.
+/// A view on a store with two servers; the store can be restored from a copy.
 struct RestoredFixture : ViewFixture {
   RestoredFixture() {
     PutVersion(3);
@@ -22,7 +23,7 @@
     Start();
     REQUIRE(RunUntil([&] { return view.servers.all().size() == 2; }));
   }
-  /// Until the store as it came back has been listed.
+  /// Restores the store and waits until the view has listed it.
   void RestoreStoreFrom(const KeyValueTable& copy) {
     table.RestoreFrom(copy);
     store.EndWatch();
@@ -35,7 +36,7 @@
   }
 };
 
-TEST_CASE("A server that has said that it leaves stays out of use where a copy calls it ready") {
+TEST_CASE("A leaving server stays out of use although a restored copy states that it is ready") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.PutServer("i-1", "draining");
@@ -44,11 +45,11 @@
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.Usable("i-2"));
   CHECK(fixture.metrics.leaving_kept > 0);
-  fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // It has started again.
+  fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // The server has restarted.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }));
 }
 
-TEST_CASE("A server whose entry had gone is not used just because a copy names it") {
+TEST_CASE("A server whose entry was removed is not used only because a restored copy contains it") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.Remove("servers/i-1");
@@ -56,11 +57,12 @@
   fixture.RestoreStoreFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.metrics.entries_doubted == 1);
-  fixture.PutServer("i-1");  // It writes: it lives.
+  fixture.PutServer("i-1");  // A write proves that the server is running.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }, milliseconds(1'000)));
 }
 
-TEST_CASE("An entry of a copy is believed once it has outlasted the silence of a dead server") {
+TEST_CASE(
+    "An entry of a restored copy is used once it has outlasted the expiry time of a dead server") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.Remove("servers/i-1");
@@ -69,7 +71,8 @@
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }, milliseconds(8'000)));
 }
 
-TEST_CASE("Servers that a copy lacks go on being used for a moment, until they write again") {
+TEST_CASE(
+    "Servers missing from a restored copy stay in use for a grace period until they write again") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.PutServer("i-3");
@@ -83,7 +86,8 @@
   CHECK(fixture.Usable("i-3"));
 }
 
-TEST_CASE("A configuration that a copy lacks goes on, and is not called newest meanwhile") {
+TEST_CASE(
+    "A configuration missing from a restored copy stays in use but is not reported as newest") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.PutVersion(9);
@@ -95,14 +99,15 @@
   fixture.RunUntil([] { return false; }, milliseconds(300));
   CHECK(fixture.view.configuration_current_at == known_at);
   CHECK(fixture.view.servers_current_at > known_at);
-  CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads keep their pace.
+  CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads stay within their usual rate.
   fixture.PutVersion(9);
   CHECK(fixture.RunUntil([&] { return fixture.view.configuration_current_at > known_at; }));
   fixture.PutVersion(12);
   CHECK(fixture.RunUntil([&] { return fixture.Version() == 12; }));
 }
 
-TEST_CASE("Own keys are told as the copy has them, also where it lacks them") {
+TEST_CASE(
+    "Handlers of internal keys receive the state of the restored copy, also for missing keys") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   fixture.Put("moorfold/leader", "someone");
@@ -111,13 +116,13 @@
   CHECK(fixture.internal_key_values.back() == "gone");
 }
 
-TEST_CASE("A sign of a later era makes a daemon list the store, though no read has failed") {
+TEST_CASE("A report of a later era makes a daemon list the store although no read has failed") {
   RestoredFixture fixture;
   const KeyValueTable copy = fixture.table;
   for (int change = 0; change < 5; ++change) fixture.PutServer("i-9");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-9") != nullptr; }));
   fixture.table.RestoreFrom(copy);
-  // The numbers pass what the daemon knows before it reads again.
+  // The revision numbers exceed those that the daemon knows before it reads again.
   for (int change = 0; change < 30; ++change) fixture.PutServer("i-2", "draining");
   fixture.store_view.ObserveEra(fixture.table.era());
   CHECK(fixture.RunUntil([&] { return !fixture.Usable("i-2"); }, milliseconds(2'000)));
@@ -131,7 +136,7 @@
   return news;
 }
 
-TEST_CASE("What is ours is written again by the leader that remembers it") {
+TEST_CASE("The leader writes its own records again after the store lost them in a restore") {
   boost::asio::io_context context;
   KeyValueTable table;
   FakeKeyValueStore store(context, table);
@@ -156,7 +161,7 @@
   };
   REQUIRE(write_until_both_stored());
   table.RestoreFrom(copy);
-  quarantine.Seen("", table.revision());  // As the listing of the copy tells.
+  quarantine.Seen("", table.revision());  // As in a listing of the restored copy.
   sharing.Seen(std::nullopt, table.revision());
   CHECK(write_until_both_stored());
 }
--- a/test/gateway/stated_leaving_test.cc
+++ b/test/gateway/stated_leaving_test.cc
@@ -1,4 +1,4 @@
-// Servers whose answers say that they leave, while the store knows nothing of it.
+// Servers whose responses state that they are leaving while the store does not show it.
 
 #include "gateway_deployment.h"
 #include "two_servers.h"
@@ -11,7 +11,8 @@
 
 const std::string kLeaving = "Server-Leaving: 1\r\n";
 
-TEST_CASE("After any kind of answer that says that its server leaves, nothing more goes there") {
+TEST_CASE(
+    "After any kind of response that states that its server is leaving, it gets no more requests") {
   const std::string answer = GENERATE(
       Answer("200 OK", kSealed + kLeaving), Answer("404 Not Found", kSealed + kLeaving),
       Answer("500 Internal Server Error", kSealed + kLeaving),
@@ -30,7 +31,8 @@
   CHECK(servers.first_got == got);
 }
 
-TEST_CASE("After a stream whose head says that its server leaves, nothing more goes there") {
+TEST_CASE(
+    "After a stream whose headers state that its server is leaving, it gets no more requests") {
   const std::string stream = "HTTP/1.1 200 OK\r\n" + kSealed + kLeaving +
                              "Content-Type: text/event-stream\r\nContent-Length: 16\r\n\r\n"
                              "id: 1\ndata: a\n\n\n";
@@ -42,7 +44,7 @@
   CHECK(servers.first_got == 1);
 }
 
-TEST_CASE("A server that has said that it leaves stays out of use when its entry comes back") {
+TEST_CASE("A server that stated that it is leaving stays out of use when its entry reappears") {
   ViewFixture fixture;
   fixture.PutVersion(1);
   fixture.PutServer("i-1");
@@ -61,11 +63,11 @@
   fixture.PutServer("i-1");
   REQUIRE(fixture.RunUntil([&] { return find() != nullptr; }));
   CHECK_FALSE(find()->Usable(BootClock::now()));
-  fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // It has started again.
+  fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // The server has restarted.
   CHECK(fixture.RunUntil([&] { return find() != nullptr && find()->Usable(BootClock::now()); }));
 }
 
-TEST_CASE("Servers whose answers say that they leave get nothing more while the store is away") {
+TEST_CASE("Servers that state that they are leaving get no more requests during a store outage") {
   Deployment deployment(3);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady() && deployment.Leaders() == 1; }));
   deployment.clients->Start(16);
@@ -73,10 +75,10 @@
   std::vector<ServerEmulator*> leaving;
   const auto& servers = deployment.platform.servers();
   leaving.push_back(servers.front().get());  // A model server.
-  leaving.push_back(servers.back().get());   // A plain one.
+  leaving.push_back(servers.back().get());   // A server without models.
   deployment.platform.store().faults().unavailable = true;
   for (ServerEmulator* server : leaving) server->faults().says_leaving = true;
-  // A gateway hears it from its own request there.
+  // Each gateway learns it from a response to its own request.
   const auto all_recorded = [&] {
     return std::all_of(deployment.gateways.begin(), deployment.gateways.end(),
                        [&](const auto& each) {
@@ -84,7 +86,7 @@
                        });
   };
   REQUIRE(deployment.RunUntil(all_recorded));
-  deployment.RunFor(milliseconds(500));  // What was under way has arrived.
+  deployment.RunFor(milliseconds(500));  // Requests in progress have arrived.
   std::vector<std::uint64_t> runs;
   for (const ServerEmulator* server : leaving) runs.push_back(server->runs());
   deployment.RunFor(milliseconds(3'000));
--- a/test/gateway/store_view_test.cc
+++ b/test/gateway/store_view_test.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("Listing and watch together show every change, in order and never back") {
+TEST_CASE("Listing and watch together deliver every change in order and never go back") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -21,7 +21,7 @@
   fixture.PutServer("i-2");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-2") != nullptr; }));
   CHECK(fixture.Version() == 9);
-  fixture.PutVersion(5);  // An older version is never taken.
+  fixture.PutVersion(5);  // An older version is never applied.
   fixture.PutServer("i-1", "draining");
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1")->record().draining; }));
   CHECK(fixture.Version() == 9);
@@ -29,7 +29,7 @@
   CHECK(fixture.internal_key_values == std::vector<std::string>{"gone"});
 }
 
-TEST_CASE("What cannot be read is skipped, and the process goes on with what it had") {
+TEST_CASE("Unreadable entries are skipped, and the view keeps its previous state") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -44,7 +44,8 @@
   CHECK(fixture.view.servers.Find("i-1")->record().slots == 4);
 }
 
-TEST_CASE("An entry of another writer names no server to use, and the others hold") {
+TEST_CASE(
+    "A malformed entry of another writer removes its server only; other servers stay in use") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -90,7 +91,9 @@
   }
 }
 
-TEST_CASE("While the configuration cannot be read, what is held goes on and is not called newest") {
+TEST_CASE(
+    "While the configuration is unreadable, the last one stays in use but is not reported as "
+    "newest") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -105,17 +108,18 @@
   CHECK(fixture.Version() == 3);
   CHECK(fixture.view.configuration_current_at == known_at);
   CHECK(fixture.view.servers_current_at > known_at);
-  CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads keep their pace.
+  CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads stay within their usual rate.
   // No request waits for a read that cannot help.
   CHECK_FALSE(fixture.view.ShouldAwaitRead(fixture.view.servers_current_at));
   const std::optional<ChangeQuestion> question = fixture.store_view.MakeChangeQuestion();
   REQUIRE(question);
   CHECK(fixture.store_view.MakeChangeAnswer(*question, 2, false).age_us > 400'000);
-  fixture.PutVersion(3);  // Readable again, and the same.
+  fixture.PutVersion(3);  // Readable again, with the same version.
   CHECK(fixture.RunUntil([&] { return fixture.view.configuration_current_at > known_at; }));
 }
 
-TEST_CASE("A server that starts again under its id is another, and its earlier life says nothing") {
+TEST_CASE(
+    "A restarted server replaces the earlier one of its id, whose later records are ignored") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.Put("servers/i-1", ViewFixture::Entry(1'000, "draining"));
@@ -131,27 +135,27 @@
   CHECK(later->Usable(BootClock::now()));
   CHECK(later->in_flight() == 0);
   fixture.Put("servers/i-1", ViewFixture::Entry(1'000, "draining"));
-  fixture.PutVersion(4);  // Comes in the same order.
+  fixture.PutVersion(4);  // Delivered after the entry above.
   REQUIRE(fixture.RunUntil([&] { return fixture.Version() == 4; }));
   CHECK(fixture.view.servers.Find("i-1") == later);
   CHECK_FALSE(later->record().draining);
 }
 
-TEST_CASE("An entry that goes in ordinary times ends the use of its server at once") {
-  // Found by a hunt: a daemon that had just started gave a server that left without a word the same
-  // grace as after an outage, and used it 2.4 s after its entry had gone.
+TEST_CASE("Without an outage, the removal of an entry ends the use of its server at once") {
+  // Found by randomized testing: a daemon that had just started applied the grace period of an
+  // outage to a server that left without notice, and used it 2.4 s after its entry was removed.
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
   fixture.Start();
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1") != nullptr; }));
   fixture.Remove("servers/i-1");
-  fixture.PutVersion(4);  // Comes in the same order, so the removal has been seen by then.
+  fixture.PutVersion(4);  // Delivered in order, so the removal has been applied by then.
   REQUIRE(fixture.RunUntil([&] { return fixture.Version() == 4; }));
   CHECK(fixture.view.servers.Find("i-1") == nullptr);
 }
 
-TEST_CASE("Entries that lapsed in an outage get a moment to come back") {
+TEST_CASE("Servers whose entries expired in an outage stay in use for a grace period") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -161,7 +165,7 @@
   fixture.store.unreachable = true;
   fixture.store.EndWatch();
   fixture.RunUntil([] { return false; }, milliseconds(2'200));
-  CHECK(fixture.view.servers.all().size() == 2);  // Known servers stay known meanwhile.
+  CHECK(fixture.view.servers.all().size() == 2);  // Known servers are kept in the meantime.
   fixture.Remove("servers/i-1");
   fixture.Remove("servers/i-2");
   fixture.PutVersion(4);
@@ -173,7 +177,7 @@
   CHECK(fixture.view.servers.Find("i-1") != nullptr);
 }
 
-TEST_CASE("A watch that ends is begun anew after a listing") {
+TEST_CASE("A watch that ended is started again after a listing") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.Start();
@@ -185,7 +189,7 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.Version() == 12; }));
 }
 
-/// Until the store has been listed once more: its history is gone.
+/// Makes the view list the store once more, by discarding the store's history.
 void ListAgain(ViewFixture& fixture) {
   fixture.store.history_gone = true;
   fixture.store.EndWatch();
@@ -195,7 +199,7 @@
   fixture.RunUntil([] { return false; }, milliseconds(20));
 }
 
-TEST_CASE("A listing ends the use of servers that are missing in it, at once in ordinary times") {
+TEST_CASE("Without an outage, a listing that lacks a server ends the use of that server at once") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -208,7 +212,7 @@
   CHECK(fixture.view.servers.Find("i-2") != nullptr);
 }
 
-TEST_CASE("Listings after an outage do not put off the removal of servers that stay missing") {
+TEST_CASE("Listings after an outage do not postpone the removal of servers that stay missing") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.PutServer("i-1");
@@ -229,13 +233,12 @@
   CHECK(BootClock::now() - back < milliseconds(2'000));
 }
 
-TEST_CASE(
-    "Failed reads are counted by what was read and why, and each outage is told in two lines") {
+TEST_CASE("Failed reads are counted by kind of read and reason") {
   ViewFixture fixture;
   fixture.PutVersion(3);
   fixture.Start();
   REQUIRE(fixture.RunUntil([&] { return fixture.Version() == 3; }));
-  fixture.RunUntil([] { return false; }, milliseconds(100));  // A read of changes is under way.
+  fixture.RunUntil([] { return false; }, milliseconds(100));  // A read of changes is in progress.
   fixture.store.unreachable = true;
   fixture.store.EndWatch();
   fixture.RunUntil([] { return false; }, milliseconds(700));
--- a/test/gateway/view_fixture.h
+++ b/test/gateway/view_fixture.h
@@ -12,7 +12,7 @@
 
 namespace moorfold {
 
-/// A view on a store that the test writes to as the operator and the servers do.
+/// A StoreView on a fake store to which the test writes as the operator and the servers do.
 struct ViewFixture {
   ViewFixture() : store(context, table), log(-1, {}), view(context.get_executor()) {}
 
@@ -37,7 +37,7 @@
   void PutServer(const std::string& id, const std::string& state = "ready") {
     Put("servers/" + id, Entry(1'000, state));
   }
-  /// What a server says of itself that started at `born` (std::chrono::milliseconds).
+  /// @return the entry of a server that started at `born`, in milliseconds.
   static std::string Entry(std::int64_t born, const std::string& state = "ready") {
     return R"({"service":"s","address":"127.0.0.1:1","zone":"z","version":"v1","state":")" + state +
            R"(","slots":4,"born":)" + std::to_string(born) + "}";
@@ -65,7 +65,7 @@
   platform::Protocol protocol;
   GatewayMetrics metrics;
   FleetView view;
-  /// Reads follow each other quickly here.
+  /// Short intervals between reads keep the tests fast.
   static constexpr follow::Settings kSettings{
       std::chrono::milliseconds(20), std::chrono::milliseconds(10), std::chrono::milliseconds(10)};
   StoreView store_view{context, store, protocol, view, metrics, log, kSettings};
