--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -24,13 +24,13 @@
   DemandBook demand;
   SteadyTime configured_at{};       ///< When `routes` was last replaced.
   SteadyTime servers_current_at{};  ///< `servers` was complete as of this time.
-  SteadyTime
-      configuration_current_at{};  ///< `routes` was the newest configuration as of this time.
+  /// `routes` was the newest configuration as of this time.
+  SteadyTime configuration_current_at{};
   /// A configuration must be in force within this time after the store has it. The platform defines
   /// this bound.
   std::chrono::milliseconds configuration_bound{2'000};
-  bool configuration_readable = true;  ///< False while the store's configuration entry is missing,
-                                       ///< unreadable or older than `routes`.
+  /// False while the store's configuration entry is missing, unreadable or older than `routes`.
+  bool configuration_readable = true;
   /// A leaving server must receive no more requests within this time after the store shows that it
   /// leaves. The platform defines this bound.
   std::chrono::milliseconds staleness_bound{2'000};
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -202,7 +202,7 @@
   if (answer.leads) {
     if (from_leader) election_.HeardLeader(answer.daemons);
     TakeSize(answer.daemons);
-    relays_.NoteFleetSize(answer.daemons);
+    relays_.HandleFleetSize(answer.daemons);
   }
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
   quarantine_.Compare(answer.quarantine_digest, from);
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -46,10 +46,10 @@
                                      .Field(LogField::kDaemons, plan_.daemons)
                                      .Field(LogField::kRelays, plan_.AllRelays().size()));
   sources_.SetPlan(plan_, BootClock::now());
-  Apply();
+  UpdateRole();
 }
 
-void RelayService::Apply() {
+void RelayService::UpdateRole() {
   if (!plan_.needed()) {
     watches_ = false;
     view_.SetServing(false);
@@ -66,7 +66,7 @@
   SendDueQuestions();
 }
 
-void RelayService::NoteFleetSize(std::uint32_t daemons) {
+void RelayService::HandleFleetSize(std::uint32_t daemons) {
   const bool large = settings_.from_daemons > 0 && daemons >= settings_.from_daemons;
   if (!large || plan_.number > 0 || plan_expected_since_) return;
   plan_expected_since_ = BootClock::now();
@@ -111,11 +111,11 @@
   } else {
     leading_since_ = {};
   }
-  Apply();
+  UpdateRole();
 }
 
 void RelayService::RequestChanges() {
-  Apply();
+  UpdateRole();
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -30,8 +30,8 @@
 
   struct Ports {
     std::function<void(const std::string& to, const FleetMessage& message)> send;
-    std::function<void(const FleetMessage& message)>
-        broadcast;  ///< To all daemons that report to this one.
+    /// Sends to all daemons that report to this one.
+    std::function<void(const FleetMessage& message)> broadcast;
     /// @return a report without demand, which carries a question about changes if one can be asked.
     std::function<DemandReport()> ask;
     std::function<bool()> leads;
@@ -61,7 +61,7 @@
   /// Handles the fleet size that the leader announced. In a fleet large enough for relays, a plan
   /// is expected to follow: until it arrives or the wait ends, servers are not read from the store
   /// but left to the relays.
-  void NoteFleetSize(std::uint32_t daemons);
+  void HandleFleetSize(std::uint32_t daemons);
   /// Asks the relay what has changed.
   void RequestChanges();
   /// Handles a relay's answer about changes.
@@ -87,14 +87,15 @@
   /// @return whether the sender is a relay of this daemon; otherwise the datagram is reported as
   /// dropped.
   bool AcceptFromRelay(const std::string& from);
-  void Apply();
+  /// Derives from the plan whether this daemon watches the store, serves others or asks a relay.
+  void UpdateRole();
 
   StoreView& view_;
   GatewayMetrics& metrics_;
   EventLog& log_;
   RelaySettings settings_;
-  std::optional<Time>
-      plan_expected_since_;  ///< When the announced fleet size first called for a plan.
+  /// When the announced fleet size first called for a plan.
+  std::optional<Time> plan_expected_since_;
   bool plan_wait_ended_ = false;
   Ports ports_;
   KeptRecord<RelayPlan> record_;
--- a/src/gateway/server_entries.h
+++ b/src/gateway/server_entries.h
@@ -65,6 +65,7 @@
     SteadyTime until{};
   };
 
+  /// @return whether the record is of an earlier incarnation; it is then counted and logged.
   bool IsEarlierLife(const ServerRecord& record, StoreRevision revision);
   /// Marks the record as leaving where the same incarnation was leaving before.
   void PreserveLeaving(ServerRecord& record, StoreRevision revision);
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -141,7 +141,7 @@
   ServiceFixture fixture(stock, kConfigurationAndServer);
   ClockJump clock;
   const auto knows_server = [&] { return fixture.member.Record("i-2") != nullptr; };
-  fixture.service.NoteFleetSize(kLargeFleet);
+  fixture.service.HandleFleetSize(kLargeFleet);
   REQUIRE(fixture.member.store_view.AwaitsServers());
   clock.Sleep(kMostOfTheWait);
   fixture.service.Tick();
@@ -154,7 +154,7 @@
   while (!knows_server() && BootClock::now() < give_up)
     fixture.context.run_one_for(milliseconds(10));
   CHECK(knows_server());
-  fixture.service.NoteFleetSize(kLargeFleet);
+  fixture.service.HandleFleetSize(kLargeFleet);
   CHECK_FALSE(fixture.member.store_view.AwaitsServers());
 }
 
