--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -25,7 +25,7 @@
 /// report.
 constexpr double kSlowReadFraction = 0.5;
 
-/// @return the range of all keys: every key is greater than the empty string.
+/// @return the range of all keys: every key starts with the empty string.
 KeyRange AllKeys() { return {"", "\xff"}; }
 
 /// @return the approximate size of an entry in a response, in bytes.
