--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -172,7 +172,7 @@
     if (wanted.waiting > 0 && !name.adapter.empty()) models.insert(name.model);
   std::map<std::string, ServerPtr> holding;
   for (const std::string& model : models)
-    for (const ServerPtr& server : fleet_view_.servers.Holding(service.name, model))
+    for (const ServerPtr& server : fleet_view_.servers.ServersWithModel(service.name, model))
       holding.emplace(server->record().id, server);
   if (holding.empty()) return;
   std::vector<PlannedServer> servers;
@@ -218,7 +218,7 @@
   const ManagedServerPtr managed = ManagedForRecord(server.record());
   PlannedServer planned;
   planned.id = server.record().id;
-  planned.serving = server.Usable(now) && !server.TurnsAway(now) && !server.Suspect(now) &&
+  planned.serving = server.Usable(now) && !server.RejectsRequests(now) && !server.Suspect(now) &&
                     !demand_.Unreachable(server.record().id, now);
   planned.accepts_orders = planned.serving && !managed->operation_pending &&
                            now >= managed->not_before && election_.ServerSafeToOrder(planned.id);
@@ -311,7 +311,7 @@
                                       SteadyTime sent_at) {
   const ServerPtr server = fleet_view_.servers.Find(id);
   if (server == nullptr || response.status == kMisdirectedStatus) return;
-  statements_.Hear(*server, {response.status, response.headers, sent_at, false});
+  statements_.Record(*server, {response.status, response.headers, sent_at, false});
 }
 
 Awaitable<std::optional<ServerStatus>> FleetController::ReadReport(const std::string& id,
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -173,8 +173,8 @@
   return !instance.empty() && instance != server.record().id;
 }
 
-void Forwarder::RecordStatement(const ServerAnswer& answer, Server& server) const {
-  if (!IsFromOtherServer(answer.headers, answer.status, server)) statements_.Hear(server, answer);
+void Forwarder::RecordStatement(const ServerResponse& answer, Server& server) const {
+  if (!IsFromOtherServer(answer.headers, answer.status, server)) statements_.Record(server, answer);
 }
 
 /// Changes the server's state only if the server states the cause itself: that it is full, or no
@@ -191,19 +191,19 @@
     const std::array<std::uint32_t, 3> load =
         ParseLoad(FindHeader(headers, protocol_.headers().server_load));
     // A server that sends Retry-After describes its own state, not the request.
-    const bool full = request.model.model.empty() || server.TurnsAway(now) ||
+    const bool full = request.model.model.empty() || server.RejectsRequests(now) ||
                       load[0] + load[1] >= server.record().slots;
     result.problem =
         full ? "the server is full" : "the server has free capacity but refuses this request";
     result.refused_with_capacity = !full;
-    if (full) server.NoteFull(now);
+    if (full) server.MarkFull(now);
     return result;
   }
   if (IsFromOtherServer(headers, status, server)) {
-    server.NoteGone();
+    server.MarkGone();
     result.problem = "another server now has the address";
   } else {
-    server.NoteMissing(request.model, now, kModelMissingTime);
+    server.RecordModelMissing(request.model, now, kModelMissingTime);
     result.problem = "the server does not hold the model";
   }
   return result;
@@ -303,13 +303,13 @@
     co_return AttemptResult{AttemptOutcome::kMayHaveRun, status,
                             "the response lacks its seal or has a content encoding"};
   const bool failed = status >= http_status::kFirstServerError;
-  if (failed) server.NoteErrorAnswer();
+  if (failed) server.RecordErrorResponse();
   // A refusal without the "not run" header must not be relayed as a refusal, because the client
   // would take it as a guarantee that the request did not run.
   const bool unusable = refused || (failed && !last_attempt) || (!success && request.head_sent);
   if (unusable)
     co_return AttemptResult{AttemptOutcome::kMayHaveRun, status, "the server returned an error"};
-  if (success) server.RememberPrompt(request.model, request.parts);
+  if (success) server.RecordPrompt(request.model, request.parts);
   AttemptResult result;
   if (success && request.route->type == RouteType::kStream)
     result = co_await RelayStream(exchange, request, std::move(headers));
@@ -327,14 +327,14 @@
   try {
     upstream = co_await Connect(request, *server);
   } catch (const HttpError& error) {
-    server->NoteUnreachable(BootClock::now());
+    server->MarkUnreachable(BootClock::now());
     co_return AttemptResult{AttemptOutcome::kNotRun, 0, error.what(), error.peer_ended()};
   }
   if (request.client_left) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kMaxIdle);
     co_return AttemptResult{AttemptOutcome::kClientLeft, 0, ""};
   }
-  if (server->TurnsAway(BootClock::now())) {
+  if (server->RejectsRequests(BootClock::now())) {
     if (upstream->Reusable()) pool_.Give(server->connection_key(), upstream, kMaxIdle);
     co_return AttemptResult{AttemptOutcome::kNotRun, 0,
                             "the server is leaving or has asked for a pause"};
@@ -357,10 +357,10 @@
   const bool unanswered = result.attempt_outcome == AttemptOutcome::kMayHaveRun ||
                           result.attempt_outcome == AttemptOutcome::kBrokenOff;
   if (unanswered && result.status < http_status::kBadRequest)
-    server->NoteFailure(BootClock::now());
+    server->RecordFailure(BootClock::now());
   else if (result.attempt_outcome == AttemptOutcome::kAnswered &&
            result.status < http_status::kFirstServerError)
-    server->NoteSuccess();
+    server->RecordSuccess();
   co_return result;
 }
 
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -46,7 +46,7 @@
   /// @return whether the response came from another server that now has this one's address.
   bool IsFromOtherServer(const HttpHeaders& headers, unsigned status, const Server& server) const;
   /// Applies what the server states about itself in its response headers.
-  void RecordStatement(const ServerAnswer& answer, Server& server) const;
+  void RecordStatement(const ServerResponse& answer, Server& server) const;
   static std::chrono::milliseconds MaxIdleTime(const GatewayRequest& request);
   void ShortenIdleLimit(const UpstreamConnection& upstream);
   void ReturnConnection(const GatewayRequest& request, const Server& server);
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -129,7 +129,7 @@
                 },
                 [this](const RelayPlan& plan, const std::string& from) {
                   if (LeaderAddress() == from)
-                    relays_.TakePlan(plan);
+                    relays_.ApplyPlan(plan);
                   else
                     NoteDropped("a plan of relays that is not the leader's", from);
                 },
@@ -137,13 +137,13 @@
                   relays_.AnswerServersQuestion(question, from);
                 },
                 [this](const ServersPage& page, const std::string& from) {
-                  relays_.TakeServersPage(page, from);
+                  relays_.HandleServersPage(page, from);
                 },
                 [this](const ConfigurationQuestion& question, const std::string& from) {
                   relays_.AnswerConfigurationQuestion(question, from);
                 },
                 [this](const ConfigurationPart& part, const std::string& from) {
-                  relays_.TakeConfigurationPart(part, from);
+                  relays_.HandleConfigurationPart(part, from);
                 },
                 [this](const PermitQuestion& question, const std::string& from) {
                   permits_.Hear(question, from);
@@ -207,18 +207,18 @@
   readiness_->Start();
   if (figures_) figures_->Start();
   channel_.Start();
-  store_view_.Follow(quarantine_record_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       TakeQuarantineRecord(entry, revision);
-                     });
-  store_view_.Follow(sharing_record_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       TakeSharingRecord(entry, revision);
-                     });
-  store_view_.Follow(relays_.key(),
-                     [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                       relays_.TakeRecord(entry, revision);
-                     });
+  store_view_.Subscribe(quarantine_record_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          TakeQuarantineRecord(entry, revision);
+                        });
+  store_view_.Subscribe(sharing_record_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          TakeSharingRecord(entry, revision);
+                        });
+  store_view_.Subscribe(relays_.key(),
+                        [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
+                          relays_.ApplyRecord(entry, revision);
+                        });
   quota_.Start();
   statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
   // A start under the same id is the end of the process before.
@@ -414,7 +414,7 @@
         settings_.relay_from_daemons > 0 && Daemons() >= settings_.relay_from_daemons;
     store_view_.SetWatching((election_.leading() && large) || relays_.Watches());
     relays_.Tick();
-    store_view_.NoteEra(store_.era());
+    store_view_.ObserveEra(store_.era());
     KeepQuarantine();
     ShareQuotas();
     pipeline_.Sweep();
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -53,9 +53,9 @@
     return;
   }
   if (notice.held)
-    view_.servers.NoteHeld(server, notice.name, now);
+    view_.servers.RecordModelHeld(server, notice.name, now);
   else
-    server->NoteMissing(notice.name, now, kUnloadSettles);
+    server->RecordModelMissing(notice.name, now, kUnloadSettles);
   if (notice.held) view_.changed.NotifyAll();
 }
 
@@ -107,7 +107,7 @@
 }
 
 std::string Gateway::LeaderAddress() const {
-  std::string told = relays_.Asks() ? relays_.LeaderTold() : std::string();
+  std::string told = relays_.UsesRelays() ? relays_.ReportedLeader() : std::string();
   if (!told.empty()) return told;
   return election_.leader() ? election_.leader()->address : std::string();
 }
@@ -120,7 +120,7 @@
     report.unreachable = UnreachableServers();
     if (election_.leading())
       controller_.AddReport(report);
-    else if (relays_.Asks())
+    else if (relays_.UsesRelays())
       ReportBesideRelays(report);
     else
       ReportToLeader(std::move(report));
@@ -136,7 +136,7 @@
 }
 
 void Gateway::AskForChanges(DemandReport& report) {
-  report.question = store_view_.Question();
+  report.question = store_view_.MakeChangeQuestion();
   if (!report.question) return;
   asked_at_us_.push_back(report.question->asked_at_us);
   if (asked_at_us_.size() > kQuestionsOpen) asked_at_us_.pop_front();
@@ -151,7 +151,7 @@
     reported_ = now;
     channel_.SendReport(leader, report);
   }
-  if (AskNow(now)) relays_.Ask();
+  if (AskNow(now)) relays_.RequestChanges();
 }
 
 void Gateway::TakeReport(const DemandReport& report) {
@@ -169,7 +169,7 @@
   ChangeAnswer answer;
   if (election_.leading() || relays_.IsRelay()) {
     const std::uint32_t daemons = election_.leading() ? Daemons() : relays_.plan().daemons;
-    answer = store_view_.Answer(question, daemons, report.relay_plan.has_value());
+    answer = store_view_.MakeChangeAnswer(question, daemons, report.relay_plan.has_value());
     answer.leader = LeaderAddress();
   } else {
     answer.asked_at_us = question.asked_at_us;
@@ -194,7 +194,7 @@
 
 void Gateway::TakeAnswer(const ChangeAnswer& answer, const std::string& from) {
   const bool from_leader = LeaderAddress() == from;
-  const bool believed = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
+  const bool believed = relays_.UsesRelays() ? relays_.TakeAnswer(answer, from) : from_leader;
   if (!Expected(answer) || !believed || election_.leading()) {
     NoteDropped("an answer that was not asked for, or not there", from);
     return;
@@ -202,14 +202,14 @@
   if (answer.leads) {
     if (from_leader) election_.NoteLeaderHeard(answer.daemons);
     TakeSize(answer.daemons);
-    relays_.NoteFleetSize(answer.daemons);
+    relays_.HandleFleetSize(answer.daemons);
   }
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
   quarantine_.Compare(answer.quarantine_digest, from);
   store_view_.TakeAnswer(answer);
-  if (!relays_.Asks()) return;
-  if (answer.partial) relays_.Ask();
-  relays_.Pull();
+  if (!relays_.UsesRelays()) return;
+  if (answer.partial) relays_.RequestChanges();
+  relays_.SendDueQuestions();
 }
 
 void Gateway::NoteUnread(const UndecodableMessage& message) {
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -9,12 +9,13 @@
 using std::chrono::milliseconds;
 
 constexpr const char* kPlanKey = "moorfold/relays";
-/// Of a relay's word on who leads: several questions long.
-constexpr milliseconds kLeaderTold{3'000};
-/// A leader names relays within some seconds of its election, if it is of a build that knows any.
-constexpr milliseconds kPlanExpected{6'000};
-/// What was lost on its way is looked at so often: no sooner than it would be asked for again.
-constexpr milliseconds kPullAgain{160};
+/// How long a relay's report of the leader is valid: several intervals between questions.
+constexpr milliseconds kReportedLeaderLifetime{3'000};
+/// A leader publishes a plan within a few seconds of its election, if its build supports relays.
+constexpr milliseconds kPlanTimeout{6'000};
+/// Interval between checks for lost messages: not shorter than the time after which a question is
+/// sent again.
+constexpr milliseconds kRetryInterval{160};
 
 }  // namespace
 
@@ -29,15 +30,15 @@
       record_(store, log, kPlanKey, LogEvent::kRelayPlanNotStored),
       planner_(settings_.from_daemons),
       sources_(settings_.address, ZoneIdOf(settings_.zone)),
-      pull_timer_(context) {}
+      retry_timer_(context) {}
 
-void RelayService::TakeRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
+void RelayService::ApplyRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
   record_.Seen(entry, revision);
-  if (entry) TakePlan(DecodeMessage<RelayPlan>(entry->value));
+  if (entry) ApplyPlan(DecodeMessage<RelayPlan>(entry->value));
 }
 
-void RelayService::TakePlan(const RelayPlan& plan) {
-  newest_number_ = std::max(newest_number_, plan.number);
+void RelayService::ApplyPlan(const RelayPlan& plan) {
+  newest_plan_number_ = std::max(newest_plan_number_, plan.number);
   if (plan.number <= plan_.number) return;
   plan_ = plan;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kRelayPlan)
@@ -45,37 +46,37 @@
                                      .Field(LogField::kDaemons, plan_.daemons)
                                      .Field(LogField::kRelays, plan_.AllRelays().size()));
   sources_.SetPlan(plan_, BootClock::now());
-  Apply();
+  UpdateRole();
 }
 
-void RelayService::Apply() {
+void RelayService::UpdateRole() {
   if (!plan_.needed()) {
     watches_ = false;
     view_.SetServing(false);
     if (plan_.number > 0) view_.SetRelays(false);
     return;
   }
-  sources_.SetPatient(view_.WaitsForServers());
+  sources_.SetPatient(view_.AwaitsServers());
   const Time now = BootClock::now();
-  sources_.NoteOwnReads(!view_.StoreInTouch(), now);
+  sources_.NoteOwnReads(!view_.StoreReachable(), now);
   watches_ = sources_.Watches(now);
   view_.SetServing(IsRelay());
   view_.SetWatching(watches_ || ports_.leads());
   view_.SetRelays(!watches_);
-  Pull();
+  SendDueQuestions();
 }
 
-void RelayService::NoteFleetSize(std::uint32_t daemons) {
+void RelayService::HandleFleetSize(std::uint32_t daemons) {
   const bool large = settings_.from_daemons > 0 && daemons >= settings_.from_daemons;
   if (!large || plan_.number > 0 || plan_expected_since_) return;
   plan_expected_since_ = BootClock::now();
   view_.SetRelays(true);
 }
 
-void RelayService::EndExpectation() {
-  if (plan_.number > 0 || !plan_expected_since_ || expectation_ended_) return;
-  if (BootClock::now() - *plan_expected_since_ < kPlanExpected) return;
-  expectation_ended_ = true;
+void RelayService::StopExpectingPlan() {
+  if (plan_.number > 0 || !plan_expected_since_ || plan_wait_ended_) return;
+  if (BootClock::now() - *plan_expected_since_ < kPlanTimeout) return;
+  plan_wait_ended_ = true;
   view_.SetRelays(false);
 }
 
@@ -85,23 +86,24 @@
                  report.relay_plan.has_value()},
                 BootClock::now());
   if (!report.relay_plan) return;
-  newest_number_ = std::max(newest_number_, *report.relay_plan);
+  newest_plan_number_ = std::max(newest_plan_number_, *report.relay_plan);
   if (plan_.number > 0 && *report.relay_plan != plan_.number) ports_.send(report.address, plan_);
 }
 
 void RelayService::MakePlan(Time now) {
   if (leading_since_ == Time{}) leading_since_ = now;
   RelayPlan next = planner_.Plan(plan_, leading_since_, now);
-  // Whoever knows a later plan, of a leader that this one never heard of, would not take this one.
-  const bool outrun = plan_.number > 0 && newest_number_ > plan_.number;
-  if (next.number == plan_.number && !outrun) return;
-  next.number = std::max(next.number, newest_number_ + 1);
-  TakePlan(next);
+  // A daemon that knows a later plan, from a leader that this one never heard of, would ignore this
+  // plan.
+  const bool superseded = plan_.number > 0 && newest_plan_number_ > plan_.number;
+  if (next.number == plan_.number && !superseded) return;
+  next.number = std::max(next.number, newest_plan_number_ + 1);
+  ApplyPlan(next);
   ports_.broadcast(plan_);
 }
 
 void RelayService::Tick() {
-  EndExpectation();
+  StopExpectingPlan();
   const Time now = BootClock::now();
   if (ports_.leads()) {
     MakePlan(now);
@@ -109,11 +111,11 @@
   } else {
     leading_since_ = {};
   }
-  Apply();
+  UpdateRole();
 }
 
-void RelayService::Ask() {
-  Apply();
+void RelayService::RequestChanges() {
+  UpdateRole();
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
@@ -132,30 +134,31 @@
   }
   sources_.Heard(from, std::chrono::microseconds(answer.age_us), now);
   if (!answer.leader.empty()) {
-    leader_told_ = answer.leader;
-    leader_told_at_ = now;
+    reported_leader_ = answer.leader;
+    reported_leader_at_ = now;
   }
   return true;
 }
 
-std::string RelayService::LeaderTold() const {
-  return BootClock::now() - leader_told_at_ < kLeaderTold ? leader_told_ : std::string();
+std::string RelayService::ReportedLeader() const {
+  return BootClock::now() - reported_leader_at_ < kReportedLeaderLifetime ? reported_leader_
+                                                                          : std::string();
 }
 
 void RelayService::AnswerServersQuestion(const ServersQuestion& question, const std::string& from) {
   ++metrics_.servers_pages_sent;
-  ports_.send(from, view_.Page(question));
+  ports_.send(from, view_.MakeServersPage(question));
 }
 
-bool RelayService::FromRelay(const std::string& from) {
+bool RelayService::AcceptFromRelay(const std::string& from) {
   const bool known = sources_.Contains(from);
-  if (!known) ports_.dropped("an answer of a daemon that is not asked as a relay", from);
+  if (!known) ports_.dropped("an answer from a daemon that is not one of the relays to ask", from);
   return known;
 }
 
-void RelayService::TakeServersPage(const ServersPage& page, const std::string& from) {
-  if (!FromRelay(from)) return;
-  switch (view_.TakePage(page, from)) {
+void RelayService::HandleServersPage(const ServersPage& page, const std::string& from) {
+  if (!AcceptFromRelay(from)) return;
+  switch (view_.ApplyServersPage(page, from)) {
     case SnapshotReader::Taken::kIgnored:
       return;
     case SnapshotReader::Taken::kDeclined:
@@ -165,37 +168,38 @@
     case SnapshotReader::Taken::kWhole:
       ++metrics_.servers_pages_taken;
       sources_.Heard(from, std::chrono::microseconds(0), BootClock::now());
-      Pull();
+      SendDueQuestions();
       return;
   }
 }
 
 void RelayService::AnswerConfigurationQuestion(const ConfigurationQuestion& question,
                                                const std::string& from) {
-  if (const std::optional<ConfigurationPart> part = view_.Part(question)) ports_.send(from, *part);
+  if (const std::optional<ConfigurationPart> part = view_.MakeConfigurationPart(question))
+    ports_.send(from, *part);
 }
 
-void RelayService::TakeConfigurationPart(const ConfigurationPart& part, const std::string& from) {
-  if (!FromRelay(from)) return;
-  view_.TakePart(part);
-  Pull();
+void RelayService::HandleConfigurationPart(const ConfigurationPart& part, const std::string& from) {
+  if (!AcceptFromRelay(from)) return;
+  view_.ApplyConfigurationPart(part);
+  SendDueQuestions();
 }
 
-void RelayService::Pull() {
-  if (!Asks()) return;
+void RelayService::SendDueQuestions() {
+  if (!UsesRelays()) return;
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
-  if (const std::optional<ServersQuestion> servers = view_.ServersQuestionDue()) {
+  if (const std::optional<ServersQuestion> servers = view_.NextServersQuestion()) {
     sources_.Asked(now);
     ports_.send(relay, *servers);
   }
-  if (const std::optional<ConfigurationQuestion> text = view_.ConfigurationQuestionDue())
+  if (const std::optional<ConfigurationQuestion> text = view_.NextConfigurationQuestion())
     ports_.send(relay, *text);
-  if (!view_.PullsServers() && !view_.PullsConfiguration()) return;
-  pull_timer_.expires_after(kPullAgain);
-  pull_timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) Pull();
+  if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
+  retry_timer_.expires_after(kRetryInterval);
+  retry_timer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) SendDueQuestions();
   });
 }
 
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -163,15 +163,17 @@
 
 Awaitable<void> RequestPipeline::AwaitStoreRead(const GatewayRequest& request) {
   const SteadyTime began = BootClock::now();
-  if (!view_.AwaitsRead(began)) co_return;
+  if (!view_.ShouldAwaitRead(began)) co_return;
   ++metrics_.waits_for_read;
   const auto longest = std::chrono::duration_cast<milliseconds>(
       std::min(view_.configuration_bound, view_.staleness_bound) * kReadWaitBoundShare);
   const SteadyTime until = began + longest;
-  while (view_.AwaitsRead(BootClock::now()) && BootClock::now() < until && !request.client_left)
+  while (view_.ShouldAwaitRead(BootClock::now()) && BootClock::now() < until &&
+         !request.client_left)
     co_await view_.refreshed.Wait(until);
   // The store does not respond: other requests do not wait for it until it responds again.
-  if (view_.AwaitsRead(BootClock::now()) && !request.client_left) view_.store_answers = false;
+  if (view_.ShouldAwaitRead(BootClock::now()) && !request.client_left)
+    view_.store_reachable = false;
 }
 
 Awaitable<ServerPtr> RequestPipeline::AwaitServer(GatewayRequest& request) {
@@ -295,7 +297,7 @@
                                               BootClock::duration{}, until - BootClock::now()));
   const bool granted = co_await permits_.Acquire(server, longest_wait);
   // The server may have announced during the wait that it is leaving or needs a pause.
-  co_return granted && !server->TurnsAway(BootClock::now());
+  co_return granted && !server->RejectsRequests(BootClock::now());
 }
 
 Awaitable<AttemptResult> RequestPipeline::Attempt(HttpServerExchange& exchange,
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -72,7 +72,7 @@
 
 double PromptMs(const Server& server, const ServerChoiceRequest& request) {
   if (request.parts.empty()) return 0;
-  const double cached = server.KeptTokens(request.model, request.parts);
+  const double cached = server.CachedPrefixTokens(request.model, request.parts);
   const double uncached = TotalTokens(request.parts) - cached;
   return uncached / kPrefillTokensPerMs +
          kFleetTieBreakMs * FleetTieBreak(request, server.record().id);
@@ -90,7 +90,8 @@
 /// other.
 void RecordServerAtLimit(const Server& server, ServerChoice& choice) {
   const bool first = choice.capacity_at == SteadyTime{};
-  choice.capacity_at = first ? server.FreeAt() : std::min(choice.capacity_at, server.FreeAt());
+  choice.capacity_at =
+      first ? server.NextSendTime() : std::min(choice.capacity_at, server.NextSendTime());
   if (choice.reason != NoServerReason::kAllUnusable) choice.reason = NoServerReason::kAtLimit;
 }
 
@@ -107,15 +108,16 @@
   choice.reason = known ? NoServerReason::kModelNotHeld : NoServerReason::kUnknownService;
   const bool of_model = !request.model.model.empty();
   int unlimited = 0;  ///< Usable servers without a stated limit.
-  for (const ServerPtr& server : of_model ? directory.Holding(request.service, request.model.model)
-                                          : directory.Of(request.service)) {
+  for (const ServerPtr& server :
+       of_model ? directory.ServersWithModel(request.service, request.model.model)
+                : directory.Of(request.service)) {
     if (of_model && !server->Holds(request.model, now)) continue;
     if (Contains(request.excluded_versions, server->record().software_version)) {
       if (choice.reason != NoServerReason::kAllUnusable)
         choice.reason = NoServerReason::kQuarantined;
       continue;
     }
-    if (!server->Leaves() && now < server->FreeAt()) {
+    if (!server->IsLeaving() && now < server->NextSendTime()) {
       RecordServerAtLimit(*server, choice);
       continue;
     }
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kNoteLife{3'000};
-constexpr std::chrono::milliseconds kFullPause{100};
-constexpr std::chrono::milliseconds kShortestSuspicion{300};
-constexpr std::chrono::milliseconds kLongestSuspicion{3'000};
-constexpr std::chrono::milliseconds kStatedLoadLife{1'000};
-constexpr double kErrorWeight = 0.2;  ///< Of the newest answer in the share of failures.
+constexpr std::chrono::milliseconds kOverrideLifetime{3'000};
+constexpr std::chrono::milliseconds kFullDuration{100};
+constexpr std::chrono::milliseconds kMinSuspectDuration{300};
+constexpr std::chrono::milliseconds kMaxSuspectDuration{3'000};
+constexpr std::chrono::milliseconds kStatedLoadLifetime{1'000};
+constexpr double kErrorWeight =
+    0.2;  ///< Weight of the newest response in the moving average of failures.
 
 bool Names(const ServerRecord& record, const std::string& model) {
   return std::any_of(record.models.begin(), record.models.end(),
@@ -39,15 +40,15 @@
     order_.push_back(hash);
     ++counts_[hash];
   }
-  while (order_.size() > kMostParts) {
+  while (order_.size() > kMaxParts) {
     const auto oldest = counts_.find(order_.front());
     if (--oldest->second == 0) counts_.erase(oldest);
     order_.pop_front();
   }
 }
 
-double RecentPrompts::KeptTokens(const ModelReference& model,
-                                 const std::vector<PromptPart>& parts) const {
+double RecentPrompts::CachedPrefixTokens(const ModelReference& model,
+                                         const std::vector<PromptPart>& parts) const {
   std::uint64_t hash = Start(model);
   double tokens = 0;
   for (const PromptPart& part : parts) {
@@ -59,13 +60,15 @@
 }
 
 void Server::Update(ServerRecord record, SteadyTime now) {
-  std::erase_if(notes_, [&](const NotedModel& note) { return note.until <= now; });
+  std::erase_if(overrides_,
+                [&](const ModelOverride& model_override) { return model_override.until <= now; });
   record_ = std::move(record);
 }
 
-const Server::NotedModel* Server::FindNote(const ModelReference& model, SteadyTime now) const {
-  for (const NotedModel& note : notes_)
-    if (note.model == model && note.until > now) return &note;
+const Server::ModelOverride* Server::FindOverride(const ModelReference& model,
+                                                  SteadyTime now) const {
+  for (const ModelOverride& model_override : overrides_)
+    if (model_override.model == model && model_override.until > now) return &model_override;
   return nullptr;
 }
 
@@ -76,54 +79,55 @@
 }
 
 bool Server::Holds(const ModelReference& model, SteadyTime now) const {
-  const NotedModel* base = FindNote({model.model, ""}, now);
+  const ModelOverride* base = FindOverride({model.model, ""}, now);
   if (base != nullptr && !base->held) return false;
-  if (const NotedModel* note = FindNote(model, now)) return note->held;
+  if (const ModelOverride* model_override = FindOverride(model, now)) return model_override->held;
   return InRecord(model);
 }
 
-void Server::Note(const ModelReference& model, SteadyTime until, bool held, SteadyTime now) {
-  std::erase_if(notes_,
-                [&](const NotedModel& note) { return note.until <= now || note.model == model; });
-  notes_.push_back({model, until, held});
+void Server::SetOverride(const ModelReference& model, SteadyTime until, bool held, SteadyTime now) {
+  std::erase_if(overrides_, [&](const ModelOverride& model_override) {
+    return model_override.until <= now || model_override.model == model;
+  });
+  overrides_.push_back({model, until, held});
 }
 
-void Server::NoteHeld(const ModelReference& model, SteadyTime now) {
-  Note(model, now + kNoteLife, true, now);
+void Server::RecordModelHeld(const ModelReference& model, SteadyTime now) {
+  SetOverride(model, now + kOverrideLifetime, true, now);
 }
 
-void Server::NoteMissing(const ModelReference& model, SteadyTime now,
-                         std::chrono::milliseconds life) {
-  Note(model, now + life, false, now);
+void Server::RecordModelMissing(const ModelReference& model, SteadyTime now,
+                                std::chrono::milliseconds life) {
+  SetOverride(model, now + life, false, now);
 }
 
 bool Server::Usable(SteadyTime now) const {
-  return !Leaves() && now >= full_until_ && !Unreachable(now);
+  return !IsLeaving() && now >= full_until_ && !Unreachable(now);
 }
 
-void Server::NoteSuccess() {
+void Server::RecordSuccess() {
   failures_in_row_ = 0;
   suspect_until_ = {};
   unreachable_until_ = {};
   error_share_ *= 1 - kErrorWeight;
 }
 
-void Server::NoteErrorAnswer() { error_share_ += (1 - error_share_) * kErrorWeight; }
+void Server::RecordErrorResponse() { error_share_ += (1 - error_share_) * kErrorWeight; }
 
-void Server::NoteFailure(SteadyTime now) {
-  constexpr std::uint32_t kMostDoublings = 4;
-  NoteErrorAnswer();
-  const auto length = kShortestSuspicion * (1U << std::min(failures_in_row_, kMostDoublings));
+void Server::RecordFailure(SteadyTime now) {
+  constexpr std::uint32_t kMaxDoublings = 4;
+  RecordErrorResponse();
+  const auto length = kMinSuspectDuration * (1U << std::min(failures_in_row_, kMaxDoublings));
   ++failures_in_row_;
-  suspect_until_ = now + std::min<std::chrono::milliseconds>(length, kLongestSuspicion);
+  suspect_until_ = now + std::min<std::chrono::milliseconds>(length, kMaxSuspectDuration);
 }
 
-void Server::NoteUnreachable(SteadyTime now) {
-  NoteFailure(now);
+void Server::MarkUnreachable(SteadyTime now) {
+  RecordFailure(now);
   unreachable_until_ = suspect_until_;
 }
 
-void Server::NoteFull(SteadyTime now) { full_until_ = now + kFullPause; }
+void Server::MarkFull(SteadyTime now) { full_until_ = now + kFullDuration; }
 
 void Server::NoteLoad(std::uint32_t running, std::uint32_t waiting, SteadyTime now) {
   stated_running_ = running;
@@ -134,27 +138,28 @@
 
 double Server::ExpectedRequests(SteadyTime now) const {
   const double own = in_flight_;
-  if (now - stated_at_ > kStatedLoadLife) return own;
+  if (now - stated_at_ > kStatedLoadLifetime) return own;
   const double since = own - in_flight_when_stated_;
   return std::max(own, stated_running_ + stated_waiting_ + since);
 }
 
 double Server::ExpectedWaiting(SteadyTime now) const {
-  return now - stated_at_ > kStatedLoadLife ? 0 : stated_waiting_;
+  return now - stated_at_ > kStatedLoadLifetime ? 0 : stated_waiting_;
 }
 
-void Server::RememberPrompt(const ModelReference& model, const std::vector<PromptPart>& parts) {
+void Server::RecordPrompt(const ModelReference& model, const std::vector<PromptPart>& parts) {
   if (!prompts_) prompts_ = std::make_unique<RecentPrompts>();
   prompts_->Remember(model, parts);
 }
 
-double Server::KeptTokens(const ModelReference& model, const std::vector<PromptPart>& parts) const {
-  return prompts_ ? prompts_->KeptTokens(model, parts) : 0;
+double Server::CachedPrefixTokens(const ModelReference& model,
+                                  const std::vector<PromptPart>& parts) const {
+  return prompts_ ? prompts_->CachedPrefixTokens(model, parts) : 0;
 }
 
 bool ServerDirectory::Put(ServerRecord record, SteadyTime now) {
   const auto found = by_id_.find(record.id);
-  ServerAdvisoryState said;
+  ServerAdvisoryState kept_standing;
   if (found != by_id_.end()) {
     const ServerPtr known = found->second;
     const ServerRecord& before = known->record();
@@ -164,20 +169,20 @@
       known->Update(std::move(record), now);
       return true;
     }
-    if (!IsLaterIncarnation(record.life, before.life)) said = known->standing();
+    if (!IsLaterIncarnation(record.life, before.life)) kept_standing = known->standing();
     Remove(before.id);
   }
   auto server = std::make_shared<Server>(std::move(record));
-  server->Restore(said);
+  server->Restore(kept_standing);
   by_id_[server->record().id] = server;
   by_service_[server->record().service].servers.push_back(server);
   for (const LoadedModel& held : server->record().models) Index(server, held.name);
   return true;
 }
 
-void ServerDirectory::NoteHeld(const ServerPtr& server, const ModelReference& model,
-                               SteadyTime now) {
-  server->NoteHeld(model, now);
+void ServerDirectory::RecordModelHeld(const ServerPtr& server, const ModelReference& model,
+                                      SteadyTime now) {
+  server->RecordModelHeld(model, now);
   Index(server, model.model);
 }
 
@@ -195,18 +200,18 @@
     if (!Names(before, held.name)) Index(server, held.name);
 }
 
-void ServerDirectory::Drop(const ServerPtr& server) {
-  server->NoteGone();
+void ServerDirectory::Retire(const ServerPtr& server) {
+  server->MarkGone();
   Service& service = by_service_[server->record().service];
   std::erase(service.servers, server);
-  // A note may have put it under models that its record does not name.
+  // An override may have indexed it under models that its record does not list.
   for (auto& [model, holding] : service.by_model) std::erase(holding, server);
 }
 
 void ServerDirectory::Remove(const std::string& id) {
   const auto found = by_id_.find(id);
   if (found == by_id_.end()) return;
-  Drop(found->second);
+  Retire(found->second);
   by_id_.erase(found);
 }
 
@@ -221,8 +226,8 @@
   return found == by_service_.end() ? kNone : found->second.servers;
 }
 
-const ServerDirectory::Servers& ServerDirectory::Holding(const std::string& service,
-                                                         const std::string& model) const {
+const ServerDirectory::Servers& ServerDirectory::ServersWithModel(const std::string& service,
+                                                                  const std::string& model) const {
   static const Servers kNone;
   const auto found = by_service_.find(service);
   if (found == by_service_.end()) return kNone;
--- a/src/gateway/server_statements.cc
+++ b/src/gateway/server_statements.cc
@@ -4,10 +4,10 @@
 
 namespace moorfold {
 
-void ServerStatements::Hear(Server& server, const ServerAnswer& answer) {
+void ServerStatements::Record(Server& server, const ServerResponse& answer) {
   const bool limited_before = server.standing().limit_per_second.has_value();
   const ServerAdvisory statement = protocol_.ReadStatement(answer.headers, answer.status);
-  if (!server.TakeStatement(statement, answer.sent_at, BootClock::now(), answer.from_run)) return;
+  if (!server.ApplyStatement(statement, answer.sent_at, BootClock::now(), answer.from_run)) return;
   ++metrics_.server_statements;
   const ServerAdvisoryState& standing = server.standing();
   EventLine line(LogEvent::kServerStates);
@@ -16,7 +16,8 @@
       .Field(LogField::kPauseMs, statement.pause.count());
   if (standing.limit_per_second) line.Field(LogField::kLimit, *standing.limit_per_second);
   log_.Write(LogRank::kDecision, line);
-  if (limited_before && !standing.limit_per_second && limit_ended_) limit_ended_(server);
+  if (limited_before && !standing.limit_per_second && limit_ended_handler_)
+    limit_ended_handler_(server);
 }
 
 }  // namespace moorfold
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -1,5 +1,5 @@
-// What a view tells other daemons, and takes from them; store_view.cc has what it reads of the
-// store.
+// The part of StoreView that exchanges questions and answers with other daemons; store_view.cc
+// reads the store.
 
 #include <algorithm>
 #include <unordered_set>
@@ -19,20 +19,21 @@
 
 }  // namespace
 
-std::optional<ChangeQuestion> StoreView::Question() const {
+std::optional<ChangeQuestion> StoreView::MakeChangeQuestion() const {
   if (!state_.listed) return std::nullopt;
   return ChangeQuestion{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
 }
 
-ChangeAnswer StoreView::Answer(const ChangeQuestion& question, std::uint32_t daemons,
-                               bool parts) const {
+ChangeAnswer StoreView::MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
+                                         bool parts) const {
   ChangeAnswer answer;
   answer.asked_at_us = question.asked_at_us;
   answer.daemons = daemons;
-  // A follower takes the version stated here for the newest as of the revision stated here. One
-  // that tells no era of its revision could not tell what an answer is worth: it reads by itself.
+  // A follower treats the version in the answer as the newest as of the revision in the answer. A
+  // question without an era comes from a daemon that cannot judge the validity of an answer, so it
+  // is declined and that daemon reads the store itself.
   const bool understood = question.revision.era != kEraUntold;
-  answer.relays = understood && Serves();
+  answer.relays = understood && CanServe();
   if (!answer.relays) return answer;
   const SteadyTime current_at = std::min(state_.current_at, view_.configuration_current_at);
   answer.age_us = Microseconds(BootClock::now() - current_at);
@@ -48,25 +49,25 @@
 
 void StoreView::SetRelays(bool named) {
   const bool reading = state_.reading_since.has_value();
-  Decide(follow::RelaysTold{named});
-  if (reading && !state_.reading_since) read_wanted_.reset();
-  ReadWhenDue();
+  ApplyEvent(follow::RelaysTold{named});
+  if (reading && !state_.reading_since) active_read_.reset();
+  ScheduleRead();
 }
 
-std::optional<ServersQuestion> StoreView::ServersQuestionDue() {
+std::optional<ServersQuestion> StoreView::NextServersQuestion() {
   const bool wanted = follow::WantsServers(state_);
   if (!wanted) snapshot_.Stop();
   if (wanted && !snapshot_.running()) snapshot_.Begin();
   return snapshot_.Due(BootClock::now());
 }
 
-ServersPage StoreView::Page(const ServersQuestion& question) const {
+ServersPage StoreView::MakeServersPage(const ServersQuestion& question) const {
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
   page.after = question.after;
-  page.relays = Serves();
+  page.relays = CanServe();
   if (!page.relays) return page;
-  FillPage(page, view_.servers);
+  FillServersPage(page, view_.servers);
   page.revision = state_.revision;
   const SteadyTime current_at = std::min(state_.current_at, view_.configuration_current_at);
   page.age_us = Microseconds(BootClock::now() - current_at);
@@ -74,68 +75,70 @@
   return page;
 }
 
-SnapshotReader::Taken StoreView::TakePage(const ServersPage& page, const std::string& from) {
+SnapshotReader::Taken StoreView::ApplyServersPage(const ServersPage& page,
+                                                  const std::string& from) {
   using Taken = SnapshotReader::Taken;
   const Taken taken = snapshot_.Take(page, from);
   if (taken == Taken::kIgnored || taken == Taken::kDeclined) return taken;
-  // What the page does not name between its first and its last server is not there any more.
+  // A known server within the page's range of ids that the page does not list has been removed.
   std::unordered_set<std::string> named;
   for (ServerChange server : page.servers) {
     named.insert(server.record.id);
-    server.revision = page.revision;  // It changed at some revision up to this one.
-    TakeChange(server);
+    server.revision = page.revision;  // The exact revision is unknown; it is not higher than this.
+    ApplyServerChange(server);
   }
   std::vector<std::string> missing;
   const ServerDirectory::ById& all = view_.servers.all();
   const auto end = page.more ? all.upper_bound(page.last) : all.end();
   for (auto known = all.upper_bound(page.after); known != end; ++known)
     if (!named.contains(known->first)) missing.push_back(known->first);
-  for (const std::string& id : missing) servers_.TakeRemoval(id, page.revision);
+  for (const std::string& id : missing) servers_.ApplyRemoval(id, page.revision);
   const bool newer = page.configuration_version > Version();
-  if (newer) told_version_ = page.configuration_version;
+  if (newer) announced_version_ = page.configuration_version;
   const SteadyTime asked_at{std::chrono::microseconds(page.asked_at_us)};
   const std::chrono::microseconds age{std::max<std::int64_t>(0, page.age_us)};
-  Decide(follow::ServersPageTaken{page.revision, newer, asked_at - age});
-  if (taken == Taken::kWhole) EndSnapshot();
+  ApplyEvent(follow::ServersPageTaken{page.revision, newer, asked_at - age});
+  if (taken == Taken::kWhole) FinishSnapshot();
   return taken;
 }
 
-std::optional<ConfigurationQuestion> StoreView::ConfigurationQuestionDue() {
-  if (follow::WantsConfiguration(state_) && told_version_ > Version())
-    configuration_reader_.Want(told_version_);
+std::optional<ConfigurationQuestion> StoreView::NextConfigurationQuestion() {
+  if (follow::WantsConfiguration(state_) && announced_version_ > Version())
+    configuration_reader_.Want(announced_version_);
   else
     configuration_reader_.Stop();
   return configuration_reader_.Due(BootClock::now());
 }
 
-std::optional<ConfigurationPart> StoreView::Part(const ConfigurationQuestion& question) const {
+std::optional<ConfigurationPart> StoreView::MakeConfigurationPart(
+    const ConfigurationQuestion& question) const {
   if (question.version != Version()) return std::nullopt;
-  return PartOf(configuration_text_, configuration_entry_revision_, question);
+  return PartOf(configuration_bytes_, configuration_entry_revision_, question);
 }
 
-void StoreView::TakePart(const ConfigurationPart& part) {
+void StoreView::ApplyConfigurationPart(const ConfigurationPart& part) {
   const std::optional<ConfigurationReader::Text> text = configuration_reader_.Take(part);
   if (!text) return;
   KeyValue entry;
   entry.key = protocol_.layout().configuration_key;
   entry.value = text->bytes;
   entry.mod_revision = text->revision;
-  TakeEntry(entry);
-  if (Version() < told_version_) return;
-  Decide(follow::ConfigurationTaken{});
-  NoteChanged();
-  ReadWhenDue();
+  ApplyEntry(entry);
+  if (Version() < announced_version_) return;
+  ApplyEvent(follow::ConfigurationTaken{});
+  NotifyChanged();
+  ScheduleRead();
 }
 
-void StoreView::EndSnapshot() {
+void StoreView::FinishSnapshot() {
   if (state_.listed)
     changes_.NoteListing(state_.revision, snapshot_.revision());
   else
     changes_.Restart(snapshot_.revision());
-  Decide(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
-  NoteSource(true);
-  NoteChanged();
-  ReadWhenDue();
+  ApplyEvent(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
+  LogSourceChange(true);
+  NotifyChanged();
+  ScheduleRead();
 }
 
 void StoreView::TakeAnswer(const ChangeAnswer& answer) {
@@ -143,7 +146,8 @@
   const std::int64_t configuration = Version();
   const StoreRevision known = state_.revision;
   const std::chrono::microseconds age{std::max<std::int64_t>(0, answer.age_us)};
-  if (answer.configuration_version > configuration) told_version_ = answer.configuration_version;
+  if (answer.configuration_version > configuration)
+    announced_version_ = answer.configuration_version;
   const follow::Relayed relayed{answer.gap,
                                 !answer.leads,
                                 answer.from_revision,
@@ -153,25 +157,25 @@
                                 answer.partial};
   if (answer.leads && !answer.relays) return;
   const SteadyTime current_before = state_.current_at;
-  const bool apply = Decide(relayed);
+  const bool apply = ApplyEvent(relayed);
   if (apply) {
     for (const ServerChange& change : answer.servers)
-      if (change.revision > known) TakeChange(change);
+      if (change.revision > known) ApplyServerChange(change);
     changes_.Advance(answer.to_revision);
     metrics_.relayed_changes += answer.servers.size();
-    if (!answer.servers.empty()) NoteChanged();
+    if (!answer.servers.empty()) NotifyChanged();
   }
   if (state_.current_at > current_before) {
-    NoteContact(state_.current_at);
-    NoteSource(true);
+    RecordContact(state_.current_at);
+    LogSourceChange(true);
     ++metrics_.relay_answers_taken;
   }
-  ReadWhenDue();
+  ScheduleRead();
 }
 
-void StoreView::TakeChange(const ServerChange& change) {
+void StoreView::ApplyServerChange(const ServerChange& change) {
   if (change.gone) {
-    TakeRemoval(protocol_.layout().server_prefix + change.record.id, change.revision);
+    ApplyRemoval(protocol_.layout().server_prefix + change.record.id, change.revision);
     return;
   }
   ServerRecord record = change.record;
--- a/test/gateway/server_choice_test.cc
+++ b/test/gateway/server_choice_test.cc
@@ -47,13 +47,13 @@
           "near");  // The load report is outdated.
   }
   SECTION("failures") {
-    directory.Find("near")->NoteFailure(kNow);
+    directory.Find("near")->RecordFailure(kNow);
     CHECK(Chosen(directory, MakeRequest()) == "far");
-    for (int answer = 0; answer < 30; ++answer) directory.Find("near")->NoteSuccess();
+    for (int answer = 0; answer < 30; ++answer) directory.Find("near")->RecordSuccess();
     CHECK(Chosen(directory, MakeRequest()) == "near");
   }
   SECTION("error responses without connection failures") {
-    for (int answer = 0; answer < 5; ++answer) directory.Find("near")->NoteErrorAnswer();
+    for (int answer = 0; answer < 5; ++answer) directory.Find("near")->RecordErrorResponse();
     CHECK(Chosen(directory, MakeRequest()) == "far");
   }
 }
@@ -69,16 +69,16 @@
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(60)).empty());
   }
   SECTION("gone") {
-    only->NoteGone();
+    only->MarkGone();
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(60)).empty());
   }
   SECTION("full, for a short time") {
-    only->NoteFull(kNow);
+    only->MarkFull(kNow);
     CHECK(Chosen(directory, MakeRequest()).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(1)) == "only");
   }
   SECTION("unreachable, with increasing backoff") {
-    for (int failure = 0; failure < 4; ++failure) only->NoteUnreachable(kNow);
+    for (int failure = 0; failure < 4; ++failure) only->MarkUnreachable(kNow);
     CHECK(Chosen(directory, MakeRequest(), kNow + milliseconds(1'500)).empty());
     CHECK(Chosen(directory, MakeRequest(), kNow + seconds(4)) == "only");
   }
@@ -97,14 +97,14 @@
   CHECK(Chosen(directory, MakeRequest("m/a2")).empty());
   CHECK(ChooseServer(directory, MakeRequest("n"), kNow).reason == NoServerReason::kModelNotHeld);
   SECTION("a notice arrives before the record") {
-    directory.NoteHeld(server, {"m", "a2"}, kNow);
+    directory.RecordModelHeld(server, {"m", "a2"}, kNow);
     CHECK(Chosen(directory, MakeRequest("m/a2")) == "i");
     CHECK(Chosen(directory, MakeRequest("m/a2"), kNow + seconds(30)).empty());
   }
   SECTION("unloading a model also makes its adapters unavailable") {
     // Guards against a failure seen in a run without injected faults: requests for adapters were
     // sent to a server that was unloading their model.
-    server->NoteMissing({"m", ""}, kNow, milliseconds(5'000));
+    server->RecordModelMissing({"m", ""}, kNow, milliseconds(5'000));
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + milliseconds(4'900)).empty());
     CHECK(Chosen(directory, MakeRequest("m/a1"), kNow + seconds(6)) == "i");
   }
@@ -121,10 +121,10 @@
     ServerDirectory fresh;
     fresh.Put(MakeRecord("i"), kNow);
     fresh.Put(MakeRecord("j"), kNow);
-    fresh.Find(id)->RememberPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
+    fresh.Find(id)->RecordPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
     CHECK(Chosen(fresh, request) == id);
     request.model.adapter = "a1";  // The cache of another adapter is not usable.
-    CHECK(fresh.Find(id)->KeptTokens(request.model, request.parts) == 0);
+    CHECK(fresh.Find(id)->CachedPrefixTokens(request.model, request.parts) == 0);
     request.model.adapter.clear();
   }
   // Daemons that have not seen the prompt choose the same server.
@@ -137,11 +137,11 @@
 TEST_CASE("Remembered prompts are bounded; the oldest are evicted") {
   RecentPrompts prompts;
   prompts.Remember({"m", ""}, {{"first", 100}});
-  CHECK(prompts.KeptTokens({"m", ""}, {{"first", 100}}) == 100);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"first", 100}}) == 100);
   for (int prompt = 0; prompt < 1000; ++prompt)
     prompts.Remember({"m", ""}, {{std::to_string(prompt), 1}});
-  CHECK(prompts.KeptTokens({"m", ""}, {{"first", 100}}) == 0);
-  CHECK(prompts.KeptTokens({"m", ""}, {{"999", 1}}) == 1);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"first", 100}}) == 0);
+  CHECK(prompts.CachedPrefixTokens({"m", ""}, {{"999", 1}}) == 1);
 }
 
 /// @return by server, how many of `daemons` daemons with the same knowledge choose it.
@@ -180,18 +180,18 @@
     directory.Put(record, kNow);
   }
   const std::string service = directory.Find("i-0")->record().service;
-  CHECK(directory.Holding(service, "m7").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 2);
   ServerRecord moved = directory.Find("i-7")->record();
   moved.models = {{"m8", {}}, {"m9", {}}};
   directory.Put(moved, kNow);
-  CHECK(directory.Holding(service, "m7").size() == 1);
-  CHECK(directory.Holding(service, "m8").size() == 3);
-  directory.NoteHeld(directory.Find("i-7"), {"m7", "a1"}, kNow);
-  CHECK(directory.Holding(service, "m7").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 1);
+  CHECK(directory.ServersWithModel(service, "m8").size() == 3);
+  directory.RecordModelHeld(directory.Find("i-7"), {"m7", "a1"}, kNow);
+  CHECK(directory.ServersWithModel(service, "m7").size() == 2);
   directory.Remove("i-7");
-  CHECK(directory.Holding(service, "m7").size() == 1);
-  CHECK(directory.Holding(service, "m9").size() == 2);
-  CHECK(directory.Holding(service, "m7").front()->record().id == "i-57");
+  CHECK(directory.ServersWithModel(service, "m7").size() == 1);
+  CHECK(directory.ServersWithModel(service, "m9").size() == 2);
+  CHECK(directory.ServersWithModel(service, "m7").front()->record().id == "i-57");
 }
 
 }  // namespace
