--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -3,7 +3,7 @@
 #include <benchmark/benchmark.h>
 
 #include "core/reducer.h"
-#include "quarantine/case_book.h"
+#include "quarantine/crash_tracker.h"
 #include "request/admission_queue.h"
 #include "request/claims/claim_node.h"
 #include "request/replica_picker.h"
@@ -47,20 +47,20 @@
 
 /// What each request pays while that many others are quarantined: its fingerprint and one look-up.
 void LookUpQuarantined(benchmark::State& state) {
-  quarantine::CaseBook book({});
+  quarantine::CrashTracker tracker({});
   const auto now = BootClock::now();
-  quarantine::CasesHeard heard;
+  quarantine::CasesReceived heard;
   for (std::int64_t index = 0; index < state.range(0); ++index)
     heard.cases.push_back({FingerprintOf({"host", "/p", "model", std::to_string(index)}),
                            "service",
                            {{"a", "v1", 1}, {"b", "v1", 1}, {"c", "v1", 1}},
                            {},
                            {"v1"}});
-  book.Reduce(heard, now);
+  tracker.Reduce(heard, now);
   const std::string body(static_cast<std::size_t>(state.range(1)), 'x');
   for (auto _ : state)
-    benchmark::DoNotOptimize(book.Known(FingerprintOf({"host", "/p", "model", body})));
-  state.counters["quarantined"] = static_cast<double>(book.quarantined());
+    benchmark::DoNotOptimize(tracker.HasCase(FingerprintOf({"host", "/p", "model", body})));
+  state.counters["quarantined"] = static_cast<double>(tracker.quarantined());
 }
 BENCHMARK(LookUpQuarantined)->Args({0, 800})->Args({10'000, 0})->Args({10'000, 800});
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -75,7 +75,7 @@
 quarantine::Settings QuarantineSettings(const GatewaySettings& settings) {
   quarantine::Settings wanted;
   wanted.servers = settings.quarantine_servers;
-  wanted.life = settings.quarantine_time;
+  wanted.retention = settings.quarantine_time;
   return wanted;
 }
 
@@ -223,7 +223,7 @@
   statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
   // A start under the same id is the end of the process before.
   store_view_.OnRestart([this](const std::string& id) {
-    if (quarantine_.book().Waiting(id)) quarantine_.Note(quarantine::ServerEnded{id});
+    if (quarantine_.tracker().AwaitsConfirmation(id)) quarantine_.Note(quarantine::ServerEnded{id});
   });
   store_view_.Start(
       kLeaderKey,
@@ -325,7 +325,7 @@
 
 void Gateway::KeepQuarantine() {
   quarantine_.Tick();
-  if (election_.leading()) quarantine_record_.Write(quarantine_.Record());
+  if (election_.leading()) quarantine_record_.Write(quarantine_.QuarantinedCases());
 }
 
 QuotaService::Ports Gateway::QuotaPorts() {
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -158,7 +158,8 @@
   members_.Note(report, BootClock::now());
   census_.Note(report.address, report.strength, BootClock::now());
   peers_.Note(report.address, BootClock::now());
-  if (report.question) quarantine_.Compare(report.quarantine_digest, report.address);
+  if (report.question)
+    quarantine_.SendCasesIfDigestDiffers(report.quarantine_digest, report.address);
   relays_.TakeReport(report);
   controller_.AddReport(report);
   if (report.question) AnswerQuestion(report);
@@ -205,7 +206,7 @@
     relays_.NoteFleetSize(answer.daemons);
   }
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
-  quarantine_.Compare(answer.quarantine_digest, from);
+  quarantine_.SendCasesIfDigestDiffers(answer.quarantine_digest, from);
   store_view_.TakeAnswer(answer);
   if (!relays_.Asks()) return;
   if (answer.partial) relays_.Ask();
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -82,7 +82,7 @@
   std::int64_t requests_at_servers = 0;
   std::vector<RepeatsLeft> repeats_left;
   std::int64_t peak_memory_kb = 0;
-  QuarantineFigures quarantine;
+  QuarantineCounters quarantine;
   QuotaFigures quota;
   PermitFigures permits;
   LabelledCounter tenant_requests;  ///< Of tenants: by tenant, outcome and reason.
--- a/src/gateway/quarantine_api.cc
+++ b/src/gateway/quarantine_api.cc
@@ -27,7 +27,7 @@
 HttpResponse List(const QuarantineService& quarantine) {
   std::string text;
   std::size_t listed = 0;
-  for (const quarantine::ListedCase& each : quarantine.book().List(BootClock::now())) {
+  for (const quarantine::ListedCase& each : quarantine.tracker().List(BootClock::now())) {
     if (listed++ == kMostListed) break;
     text += Line(each);
   }
@@ -40,7 +40,7 @@
     return Text(http_status::kBadRequest, "'" + digits +
                                               "' is no fingerprint; give the 32 hexadecimal digits "
                                               "of a line of the list\n");
-  if (!quarantine.book().Known(*fingerprint))
+  if (!quarantine.tracker().HasCase(*fingerprint))
     return Text(http_status::kNotFound,
                 "nothing is known of " + digits +
                     "; it may have been released or forgotten: look at the list again\n");
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -299,7 +299,7 @@
                                                   const ServerPtr& server) {
   const DemandMark flight(view_.demand, request.service, request.model,
                           &DemandBook::Count::in_flight);
-  std::optional<QuarantineService::Trial> trial;
+  std::optional<QuarantineService::SuspectAttempt> trial;
   if (quarantine_.book().Known(request.fingerprint))
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
   const bool last = !MayRunElsewhere(request);
--- a/src/gateway/suspect_guard.cc
+++ b/src/gateway/suspect_guard.cc
@@ -11,38 +11,38 @@
 namespace moorfold {
 
 bool SuspectGuard::Quarantined(const GatewayRequest& request) const {
-  if (!quarantine_.book().Known(request.fingerprint)) return false;
+  if (!quarantine_.tracker().HasCase(request.fingerprint)) return false;
   const std::vector<ServerPtr>& servers = view_.servers.Of(request.service);
   return !servers.empty() &&
          std::all_of(servers.begin(), servers.end(), [&](const ServerPtr& server) {
-           return quarantine_.At(request.fingerprint, server->record().software_version) ==
-                  quarantine::Standing::kQuarantined;
+           return quarantine_.StateFor(request.fingerprint, server->record().software_version) ==
+                  quarantine::QuarantineState::kQuarantined;
          });
 }
 
 /// A suspected request is tried at one server at a time, and not where another suspect is: if the
 /// server ends, its cause is known, and if not, the request is cleared.
 bool SuspectGuard::Limit(const GatewayRequest& request, ChoiceRequest& wanted) const {
-  if (quarantine_.OnTrial(request.fingerprint)) return false;
+  if (quarantine_.HasAttemptInFlight(request.fingerprint)) return false;
   bool suspected = false;
   for (const ServerPtr& server : view_.servers.Of(request.service)) {
     const std::string& version = server->record().software_version;
-    switch (quarantine_.At(request.fingerprint, version)) {
-      case quarantine::Standing::kQuarantined:
+    switch (quarantine_.StateFor(request.fingerprint, version)) {
+      case quarantine::QuarantineState::kQuarantined:
         wanted.excluded_versions.push_back(version);
         break;
-      case quarantine::Standing::kUndecided:
+      case quarantine::QuarantineState::kUndecided:
         wanted.excluded.push_back(server->record().id);
         break;
-      case quarantine::Standing::kSuspect:
+      case quarantine::QuarantineState::kSuspect:
         suspected = true;
         break;
-      case quarantine::Standing::kClear:
+      case quarantine::QuarantineState::kClear:
         break;
     }
   }
   if (!suspected) return true;
-  for (std::string& server : quarantine_.ServersOnTrial())
+  for (std::string& server : quarantine_.ServersWithSuspects())
     wanted.excluded.push_back(std::move(server));
   return true;
 }
@@ -58,11 +58,12 @@
   }
   const bool other_there = result.status == kMisdirectedStatus && server.gone();
   if (result.link_ended || other_there) {
-    if (quarantine_.book().Waiting(record.id)) quarantine_.Note(quarantine::ServerEnded{record.id});
+    if (quarantine_.tracker().AwaitsConfirmation(record.id))
+      quarantine_.Note(quarantine::ServerEnded{record.id});
     return;
   }
   if (result.status == 0) return;
-  if (quarantine_.book().Waiting(record.id))
+  if (quarantine_.tracker().AwaitsConfirmation(record.id))
     quarantine_.Note(quarantine::ServerAnswered{record.id, sent_at});
   // A failure that a server answers may come before it has begun the request: no proof.
   if (result.end == ForwardEnd::kAnswered && result.status < http_status::kBadRequest)
--- a/src/quarantine/case_book.cc
+++ b/src/quarantine/crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "quarantine/case_book.h"
+#include "quarantine/crash_tracker.h"
 
 #include <xxhash.h>
 
@@ -31,27 +31,27 @@
 
 }  // namespace
 
-std::size_t CaseBook::CrashesOf(const Case& found, std::string_view version) {
+std::size_t CrashTracker::CrashesOf(const Case& found, std::string_view version) {
   return static_cast<std::size_t>(
       std::count_if(found.crashes.begin(), found.crashes.end(),
                     [&](const Crash& crash) { return crash.version == version; }));
 }
 
-Effects CaseBook::Reduce(const Event& event, Time now) {
+Effects CrashTracker::Reduce(const Event& event, Time now) {
   Effects effects;
   std::visit([&](const auto& each) { Take(each, now, effects); }, event);
   return effects;
 }
 
-void CaseBook::Take(const LinkEnded& event, Time now, Effects& effects) {
+void CrashTracker::Take(const LinkEnded& event, Time now, Effects& effects) {
   if (settings_.servers == 0 || ended_link_count_ >= kMostEndedLinks) return;
   std::vector<EndedLink>& waiting = ended_links_[event.server_id];
-  if (waiting.empty()) effects.look_at.push_back(event.server_id);
+  if (waiting.empty()) effects.servers_to_probe.push_back(event.server_id);
   waiting.push_back({event, now});
   ++ended_link_count_;
 }
 
-void CaseBook::Take(const ServerEnded& event, Time now, Effects& effects) {
+void CrashTracker::Take(const ServerEnded& event, Time now, Effects& effects) {
   const auto waiting = ended_links_.find(event.server_id);
   if (waiting == ended_links_.end()) return;
   std::vector<Fingerprint> blamed;
@@ -73,13 +73,13 @@
     if (known == cases_.end()) continue;  // It made room for another of the same server.
     Case& found = known->second;
     effects.news.push_back(fingerprint);
-    effects.rulings.push_back(
-        {RulingKind::kSuspected, fingerprint, found.service, found.crashes.size()});
+    effects.changes.push_back(
+        {CaseChangeKind::kSuspected, fingerprint, found.service, found.crashes.size()});
     Judge(fingerprint, found, now, effects);
   }
 }
 
-void CaseBook::Take(const ServerAnswered& event, Time, Effects&) {
+void CrashTracker::Take(const ServerAnswered& event, Time, Effects&) {
   const auto waiting = ended_links_.find(event.server_id);
   if (waiting == ended_links_.end()) return;
   ended_link_count_ -= std::erase_if(
@@ -87,7 +87,7 @@
   if (waiting->second.empty()) ended_links_.erase(waiting);
 }
 
-void CaseBook::Take(const Served& event, Time now, Effects& effects) {
+void CrashTracker::Take(const Served& event, Time now, Effects& effects) {
   if (settings_.servers == 0) return;
   RememberServed(event.fingerprint, now);
   const auto known = cases_.find(event.fingerprint);
@@ -96,10 +96,10 @@
   AddClearance(event.fingerprint, found, {event.version, now});
   UpdateDigest(event.fingerprint, found);
   effects.news.push_back(event.fingerprint);
-  effects.rulings.push_back({RulingKind::kCleared, event.fingerprint, found.service, 0});
+  effects.changes.push_back({CaseChangeKind::kCleared, event.fingerprint, found.service, 0});
 }
 
-void CaseBook::Take(const Released& event, Time now, Effects& effects) {
+void CrashTracker::Take(const Released& event, Time now, Effects& effects) {
   const auto known = cases_.find(event.fingerprint);
   if (known == cases_.end()) return;
   Case& found = known->second;
@@ -107,23 +107,24 @@
   AddClearance(event.fingerprint, found, {"", now});
   UpdateDigest(event.fingerprint, found);
   effects.news.push_back(event.fingerprint);
-  effects.rulings.push_back({RulingKind::kReleased, event.fingerprint, found.service, servers});
+  effects.changes.push_back({CaseChangeKind::kReleased, event.fingerprint, found.service, servers});
 }
 
-void CaseBook::Take(const CasesHeard& event, Time now, Effects& effects) {
+void CrashTracker::Take(const CasesReceived& event, Time now, Effects& effects) {
   if (settings_.servers == 0) return;
-  for (const CaseNews& news : event.cases) {
+  for (const CaseUpdate& news : event.cases) {
     if (!Plausible(news)) {
       ++effects.dropped;
       continue;
     }
     const auto last_age = [&] {
-      std::int64_t age = settings_.life.count();
-      for (const CrashNews& crash : news.crashes) age = std::min(age, crash.age_ms);
-      for (const ClearanceNews& clearance : news.clearances) age = std::min(age, clearance.age_ms);
+      std::int64_t age = settings_.retention.count();
+      for (const CrashReport& crash : news.crashes) age = std::min(age, crash.age_ms);
+      for (const ClearanceReport& clearance : news.clearances)
+        age = std::min(age, clearance.age_ms);
       return age;
     };
-    if (last_age() >= settings_.life.count()) continue;
+    if (last_age() >= settings_.retention.count()) continue;
     Case* found = FindOrMake(news.fingerprint, news.service);
     if (found == nullptr) {
       ++effects.dropped;
@@ -137,10 +138,10 @@
   }
 }
 
-void CaseBook::Take(const Tick&, Time now, Effects& effects) {
+void CrashTracker::Take(const Tick&, Time now, Effects& effects) {
   for (auto waiting = ended_links_.begin(); waiting != ended_links_.end();) {
     ended_link_count_ -= std::erase_if(waiting->second, [&](const EndedLink& ended) {
-      return now - ended.at > settings_.proof_time;
+      return now - ended.at > settings_.confirmation_timeout;
     });
     waiting = waiting->second.empty() ? ended_links_.erase(waiting) : std::next(waiting);
   }
@@ -149,7 +150,7 @@
     Time last{};
     for (const Crash& crash : found.crashes) last = std::max(last, crash.at);
     for (const Clearance& clearance : found.clearances) last = std::max(last, clearance.at);
-    if (now - last >= settings_.life)
+    if (now - last >= settings_.retention)
       old.push_back(fingerprint);
     else
       Judge(fingerprint, found, now, effects);
@@ -157,20 +158,22 @@
   for (const Fingerprint& fingerprint : old) Forget(fingerprint, effects);
 }
 
-Standing CaseBook::At(const Fingerprint& fingerprint, std::string_view version, Time now) const {
+QuarantineState CrashTracker::StateFor(const Fingerprint& fingerprint, std::string_view version,
+                                       Time now) const {
   const auto known = cases_.find(fingerprint);
-  if (known == cases_.end()) return Standing::kClear;
+  if (known == cases_.end()) return QuarantineState::kClear;
   const Case& found = known->second;
-  if (Contains(found.quarantined_versions, version)) return Standing::kQuarantined;
+  if (Contains(found.quarantined_versions, version)) return QuarantineState::kQuarantined;
   const std::size_t crashes = CrashesOf(found, version);
   if (crashes == 0)
-    return found.quarantined_versions.empty() ? Standing::kClear : Standing::kSuspect;
+    return found.quarantined_versions.empty() ? QuarantineState::kClear : QuarantineState::kSuspect;
   const bool may_be_judged = crashes >= kLeastToCompare && crashes + 1 >= settings_.servers;
-  if (may_be_judged && now - found.heard_at < settings_.settle) return Standing::kUndecided;
-  return Standing::kSuspect;
+  if (may_be_judged && now - found.heard_at < settings_.propagation_time)
+    return QuarantineState::kUndecided;
+  return QuarantineState::kSuspect;
 }
 
-void CaseBook::Judge(const Fingerprint& fingerprint, Case& found, Time now, Effects& effects) {
+void CrashTracker::Judge(const Fingerprint& fingerprint, Case& found, Time now, Effects& effects) {
   UpdateDigest(fingerprint, found);
   if (settings_.servers == 0) return;
   std::vector<std::string> versions;
@@ -180,7 +183,7 @@
     if (Contains(found.quarantined_versions, version)) continue;
     const std::size_t crashes = CrashesOf(found, version);
     const bool known_elsewhere = !found.quarantined_versions.empty();
-    const bool settled = now - found.heard_at >= settings_.settle;
+    const bool settled = now - found.heard_at >= settings_.propagation_time;
     const bool stands_out = crashes >= kLeastToCompare && crashes + 1 >= settings_.servers &&
                             settled && AloneAtTop(fingerprint, found, version);
     if (known_elsewhere || crashes >= settings_.servers || stands_out)
@@ -188,8 +191,8 @@
   }
 }
 
-void CaseBook::Quarantine(const Fingerprint& fingerprint, Case& found, const std::string& version,
-                          Effects& effects) {
+void CrashTracker::Quarantine(const Fingerprint& fingerprint, Case& found,
+                              const std::string& version, Effects& effects) {
   const bool full = found.quarantined_versions.size() >= kMostVersions;
   if (full || Contains(found.quarantined_versions, version)) return;
   if (found.quarantined_versions.empty()) ++quarantined_;
@@ -197,12 +200,12 @@
   UpdateDigest(fingerprint, found);
   if (effects.news.empty() || effects.news.back() != fingerprint)
     effects.news.push_back(fingerprint);
-  effects.rulings.push_back(
-      {RulingKind::kQuarantined, fingerprint, found.service, found.crashes.size()});
+  effects.changes.push_back(
+      {CaseChangeKind::kQuarantined, fingerprint, found.service, found.crashes.size()});
 }
 
-bool CaseBook::AloneAtTop(const Fingerprint& fingerprint, const Case& found,
-                          const std::string& version) const {
+bool CrashTracker::AloneAtTop(const Fingerprint& fingerprint, const Case& found,
+                              const std::string& version) const {
   const std::size_t own = CrashesOf(found, version);
   for (const Crash& crash : found.crashes) {
     const auto beside = by_server_.find(crash.server_id);
@@ -218,7 +221,7 @@
   return true;
 }
 
-bool CaseBook::AddCrash(const Fingerprint& fingerprint, Case& found, Crash crash, Time now) {
+bool CrashTracker::AddCrash(const Fingerprint& fingerprint, Case& found, Crash crash, Time now) {
   for (const Clearance& clearance : found.clearances)
     if ((clearance.version.empty() || clearance.version == crash.version) &&
         clearance.at >= crash.at)
@@ -235,8 +238,8 @@
   return true;
 }
 
-bool CaseBook::AddClearance(const Fingerprint& fingerprint, Case& found,
-                            const Clearance& clearance) {
+bool CrashTracker::AddClearance(const Fingerprint& fingerprint, Case& found,
+                                const Clearance& clearance) {
   const auto same = [&](const Clearance& known) { return known.version == clearance.version; };
   const auto known = std::find_if(found.clearances.begin(), found.clearances.end(), same);
   // What a message took to arrive makes the same clearance look newer.
@@ -251,8 +254,8 @@
   return true;
 }
 
-void CaseBook::DropCleared(const Fingerprint& fingerprint, Case& found,
-                           const Clearance& clearance) {
+void CrashTracker::DropCleared(const Fingerprint& fingerprint, Case& found,
+                               const Clearance& clearance) {
   const auto covered = [&](const std::string& version) {
     return clearance.version.empty() || clearance.version == version;
   };
@@ -268,14 +271,14 @@
   if (was_quarantined && found.quarantined_versions.empty()) --quarantined_;
 }
 
-bool CaseBook::Merge(Case& found, const CaseNews& news, Time now) {
+bool CrashTracker::Merge(Case& found, const CaseUpdate& news, Time now) {
   bool changed = false;
-  for (const ClearanceNews& each : news.clearances) {
+  for (const ClearanceReport& each : news.clearances) {
     const Clearance clearance{each.version, now - Milliseconds(each.age_ms)};
     changed = AddClearance(news.fingerprint, found, clearance) || changed;
   }
-  for (const CrashNews& each : news.crashes) {
-    if (each.age_ms >= settings_.life.count()) continue;
+  for (const CrashReport& each : news.crashes) {
+    if (each.age_ms >= settings_.retention.count()) continue;
     const Crash crash{each.server_id, each.version, now - Milliseconds(each.age_ms)};
     changed = AddCrash(news.fingerprint, found, crash, now) || changed;
   }
@@ -286,16 +289,16 @@
   return changed;
 }
 
-bool CaseBook::Plausible(const CaseNews& news) {
+bool CrashTracker::Plausible(const CaseUpdate& news) {
   if (news.service.empty() || !ShortName(news.service)) return false;
   if (news.crashes.size() > kMostCrashes || news.clearances.size() > kMostVersions ||
       news.quarantined_versions.size() > kMostVersions)
     return false;
-  const auto sound = [](const CrashNews& crash) {
+  const auto sound = [](const CrashReport& crash) {
     return !crash.server_id.empty() && ShortName(crash.server_id) && ShortName(crash.version) &&
            crash.age_ms >= 0;
   };
-  const auto past = [](const ClearanceNews& clearance) {
+  const auto past = [](const ClearanceReport& clearance) {
     return clearance.age_ms >= 0 && ShortName(clearance.version);
   };
   return std::all_of(news.crashes.begin(), news.crashes.end(), sound) &&
@@ -303,10 +306,11 @@
          std::all_of(news.quarantined_versions.begin(), news.quarantined_versions.end(), ShortName);
 }
 
-CaseBook::Case* CaseBook::FindOrMake(const Fingerprint& fingerprint, const std::string& service) {
+CrashTracker::Case* CrashTracker::FindOrMake(const Fingerprint& fingerprint,
+                                             const std::string& service) {
   const auto known = cases_.find(fingerprint);
   if (known != cases_.end()) return &known->second;
-  if (cases_.size() >= settings_.most_cases && !MakeRoom()) return nullptr;
+  if (cases_.size() >= settings_.max_cases && !MakeRoom()) return nullptr;
   Case& made = cases_[fingerprint];
   made.service = service;
   return &made;
@@ -314,7 +318,7 @@
 
 /// Of some cases, the oldest that is not quarantined goes: looking at all of them for each would
 /// let whoever sends many such requests take the processor. @return whether one went.
-bool CaseBook::MakeRoom() {
+bool CrashTracker::MakeRoom() {
   constexpr std::size_t kLookedAt = 64;
   const Fingerprint* oldest = nullptr;
   Time oldest_at = Time::max();
@@ -331,28 +335,28 @@
   return true;
 }
 
-void CaseBook::Forget(const Fingerprint& fingerprint, Effects& effects) {
+void CrashTracker::Forget(const Fingerprint& fingerprint, Effects& effects) {
   const auto known = cases_.find(fingerprint);
   if (known == cases_.end()) return;
   Case& found = known->second;
   for (const Crash& crash : found.crashes) RemoveFromServer(fingerprint, crash.server_id);
   if (!found.quarantined_versions.empty()) {
     --quarantined_;
-    effects.rulings.push_back(
-        {RulingKind::kForgotten, fingerprint, found.service, found.crashes.size()});
+    effects.changes.push_back(
+        {CaseChangeKind::kForgotten, fingerprint, found.service, found.crashes.size()});
   }
   digest_ ^= found.digest_part;
   cases_.erase(known);
 }
 
-void CaseBook::RemoveFromServer(const Fingerprint& fingerprint, const std::string& server_id) {
+void CrashTracker::RemoveFromServer(const Fingerprint& fingerprint, const std::string& server_id) {
   const auto beside = by_server_.find(server_id);
   if (beside == by_server_.end()) return;
   std::erase(beside->second, fingerprint);
   if (beside->second.empty()) by_server_.erase(beside);
 }
 
-void CaseBook::UpdateDigest(const Fingerprint& fingerprint, Case& found) {
+void CrashTracker::UpdateDigest(const Fingerprint& fingerprint, Case& found) {
   digest_ ^= found.digest_part;
   found.digest_part = 0;
   const bool weighty = !found.quarantined_versions.empty() ||
@@ -370,12 +374,12 @@
   digest_ ^= found.digest_part;
 }
 
-bool CaseBook::ServedLately(const Fingerprint& fingerprint, Time now) const {
+bool CrashTracker::ServedLately(const Fingerprint& fingerprint, Time now) const {
   const auto served = served_.find(fingerprint);
-  return served != served_.end() && now - served->second < settings_.innocence;
+  return served != served_.end() && now - served->second < settings_.recent_success_window;
 }
 
-void CaseBook::RememberServed(const Fingerprint& fingerprint, Time now) {
+void CrashTracker::RememberServed(const Fingerprint& fingerprint, Time now) {
   const bool known = !served_.insert_or_assign(fingerprint, now).second;
   if (known) return;
   served_order_.push_back(fingerprint);
@@ -384,8 +388,8 @@
   served_order_.pop_front();
 }
 
-CaseNews CaseBook::Tell(const Fingerprint& fingerprint, Time now) const {
-  CaseNews news;
+CaseUpdate CrashTracker::ExportCase(const Fingerprint& fingerprint, Time now) const {
+  CaseUpdate news;
   news.fingerprint = fingerprint;
   const auto known = cases_.find(fingerprint);
   if (known == cases_.end()) return news;
@@ -399,13 +403,13 @@
   return news;
 }
 
-std::vector<ListedCase> CaseBook::List(Time now) const {
+std::vector<ListedCase> CrashTracker::List(Time now) const {
   std::vector<ListedCase> listed;
   for (const auto& [fingerprint, found] : cases_) {
     if (found.quarantined_versions.empty()) continue;
     Time last{};
     for (const Crash& crash : found.crashes) last = std::max(last, crash.at);
-    const auto left = std::chrono::duration_cast<Milliseconds>(last + settings_.life - now);
+    const auto left = std::chrono::duration_cast<Milliseconds>(last + settings_.retention - now);
     listed.push_back({fingerprint, found.service, found.crashes.size(), found.quarantined_versions,
                       std::max(Milliseconds(0), left)});
   }
@@ -415,7 +419,8 @@
   return listed;
 }
 
-std::vector<Fingerprint> CaseBook::Weighty(std::size_t most, std::size_t& cursor) const {
+std::vector<Fingerprint> CrashTracker::NextCasesToSync(std::size_t most,
+                                                       std::size_t& cursor) const {
   std::vector<Fingerprint> all;
   for (const auto& [fingerprint, found] : cases_)
     if (found.digest_part != 0) all.push_back(fingerprint);
--- a/src/quarantine/case_book.h
+++ b/src/quarantine/crash_tracker.h
@@ -39,7 +39,7 @@
 /// End. A case is forgotten `life` after its last crash. Verdicts hold for one version of the
 /// servers' software; on the next version a single crash is enough.
 ///
-/// Bounds. `most_cases` in all, the oldest harmless ones go first; a few crashes and clearances a
+/// Bounds. `max_cases` in all, the oldest harmless ones go first; a few crashes and clearances a
 /// case. State changes by Reduce alone, which asks no clock and sends nothing: what is to be done
 /// is in its effects. One thread.
 namespace quarantine {
@@ -52,20 +52,20 @@
   /// by three.
   std::uint32_t servers = 3;
   /// How long a request stays out after the last server that ended under it.
-  Milliseconds life{600'000};
+  Milliseconds retention{600'000};
   /// Within that time what others saw of the same crash is known here, in ordinary times: reports
   /// are sent at once, and a datagram takes milliseconds.
-  Milliseconds settle{300};
+  Milliseconds propagation_time{300};
   /// An ended link waits so long for a sign of its server's end.
-  Milliseconds proof_time{5'000};
+  Milliseconds confirmation_timeout{5'000};
   /// A request that was answered whole so lately is not suspected.
-  Milliseconds innocence{10'000};
+  Milliseconds recent_success_window{10'000};
   /// The longest that a case and what hangs on it take: about 400 bytes, so 4 MB at most.
-  std::size_t most_cases = 10'000;
+  std::size_t max_cases = 10'000;
 };
 
 /// How a request stands with servers of one version.
-enum class Standing : std::uint8_t {
+enum class QuarantineState : std::uint8_t {
   kClear,       ///< Nothing is known against it.
   kSuspect,     ///< A server ended under it; so did others beside it.
   kUndecided,   ///< More evidence may be on its way.
@@ -94,8 +94,8 @@
   std::string version;
 };
 /// Another daemon, or the store, tells of cases.
-struct CasesHeard {
-  std::vector<CaseNews> cases;
+struct CasesReceived {
+  std::vector<CaseUpdate> cases;
 };
 /// The operator lets a request run again.
 struct Released {
@@ -104,13 +104,19 @@
 /// Time has passed.
 struct Tick {};
 using Event =
-    std::variant<LinkEnded, ServerEnded, ServerAnswered, Served, CasesHeard, Released, Tick>;
-
-enum class RulingKind : std::uint8_t { kSuspected, kQuarantined, kCleared, kReleased, kForgotten };
+    std::variant<LinkEnded, ServerEnded, ServerAnswered, Served, CasesReceived, Released, Tick>;
+
+enum class CaseChangeKind : std::uint8_t {
+  kSuspected,
+  kQuarantined,
+  kCleared,
+  kReleased,
+  kForgotten
+};
 
 /// A change that operators may want to read of.
-struct Ruling {
-  RulingKind kind = RulingKind::kSuspected;
+struct CaseChange {
+  CaseChangeKind kind = CaseChangeKind::kSuspected;
   Fingerprint fingerprint;
   std::string service;
   std::size_t servers = 0;  ///< That ended under it.
@@ -119,8 +125,9 @@
 struct Effects {
   /// Cases of which this daemon has learnt something: others should hear of them.
   std::vector<Fingerprint> news;
-  std::vector<std::string> look_at;  ///< Servers of which it should be seen whether they live.
-  std::vector<Ruling> rulings;
+  std::vector<std::string>
+      servers_to_probe;  ///< Servers of which it should be seen whether they live.
+  std::vector<CaseChange> changes;
   std::size_t dropped = 0;  ///< Cases heard that cannot be, or for which there is no room.
 };
 
@@ -133,26 +140,29 @@
   Milliseconds left{0};               ///< Until it is forgotten.
 };
 
-class CaseBook {
+class CrashTracker {
  public:
-  explicit CaseBook(Settings settings) : settings_(settings) {}
+  explicit CrashTracker(Settings settings) : settings_(settings) {}
 
   Effects Reduce(const Event& event, Time now);
 
   /// Nearly all requests: nothing but one look-up.
-  bool Known(const Fingerprint& fingerprint) const { return cases_.contains(fingerprint); }
-  Standing At(const Fingerprint& fingerprint, std::string_view version, Time now) const;
+  bool HasCase(const Fingerprint& fingerprint) const { return cases_.contains(fingerprint); }
+  QuarantineState StateFor(const Fingerprint& fingerprint, std::string_view version,
+                           Time now) const;
   /// @return whether an ended link to the server still waits for a sign.
-  bool Waiting(const std::string& server_id) const { return ended_links_.contains(server_id); }
+  bool AwaitsConfirmation(const std::string& server_id) const {
+    return ended_links_.contains(server_id);
+  }
   /// @return what is known of a case, to be told to others.
-  CaseNews Tell(const Fingerprint& fingerprint, Time now) const;
+  CaseUpdate ExportCase(const Fingerprint& fingerprint, Time now) const;
   /// @return all cases that are quarantined for some version, the newest crash first.
   std::vector<ListedCase> List(Time now) const;
   /// @return equal numbers for equal sets of what is quarantined, suspected by two or more servers,
   /// or cleared since: daemons whose numbers differ tell each other.
   std::uint64_t Digest() const { return digest_; }
   /// @return up to `most` cases that count in the digest, going round with each call from `cursor`.
-  std::vector<Fingerprint> Weighty(std::size_t most, std::size_t& cursor) const;
+  std::vector<Fingerprint> NextCasesToSync(std::size_t most, std::size_t& cursor) const;
   std::size_t quarantined() const { return quarantined_; }
   std::size_t size() const { return cases_.size(); }
 
@@ -184,7 +194,7 @@
   void Take(const ServerEnded& event, Time now, Effects& effects);
   void Take(const ServerAnswered& event, Time now, Effects& effects);
   void Take(const Served& event, Time now, Effects& effects);
-  void Take(const CasesHeard& event, Time now, Effects& effects);
+  void Take(const CasesReceived& event, Time now, Effects& effects);
   void Take(const Released& event, Time now, Effects& effects);
   void Take(const Tick& event, Time now, Effects& effects);
 
@@ -195,7 +205,7 @@
   /// Drops the crashes and verdicts that a clearance covers.
   void DropCleared(const Fingerprint& fingerprint, Case& found, const Clearance& clearance);
   /// Merges what was heard. @return whether anything was new.
-  bool Merge(Case& found, const CaseNews& news, Time now);
+  bool Merge(Case& found, const CaseUpdate& news, Time now);
   Case* FindOrMake(const Fingerprint& fingerprint, const std::string& service);
   bool MakeRoom();
   void Judge(const Fingerprint& fingerprint, Case& found, Time now, Effects& effects);
@@ -209,7 +219,7 @@
   bool ServedLately(const Fingerprint& fingerprint, Time now) const;
   void RememberServed(const Fingerprint& fingerprint, Time now);
   static std::size_t CrashesOf(const Case& found, std::string_view version);
-  static bool Plausible(const CaseNews& news);
+  static bool Plausible(const CaseUpdate& news);
 
   Settings settings_;
   CaseMap cases_;
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -15,7 +15,7 @@
 /// clock. What a message takes to arrive makes things look younger by that much.
 
 /// A server that ended while it ran a request.
-struct CrashNews {
+struct CrashReport {
   std::string server_id;
   std::string version;  ///< Of the server's software.
   std::int64_t age_ms = 0;
@@ -27,7 +27,7 @@
 };
 
 /// A proof that servers of a version do not end under a request: crashes before it do not count.
-struct ClearanceNews {
+struct ClearanceReport {
   std::string version;  ///< Empty: all, by the operator's word.
   std::int64_t age_ms = 0;
 
@@ -38,11 +38,11 @@
 };
 
 /// What a daemon knows of one request under which servers ended. Holds no part of the request.
-struct CaseNews {
+struct CaseUpdate {
   Fingerprint fingerprint;
   std::string service;
-  std::vector<CrashNews> crashes;
-  std::vector<ClearanceNews> clearances;
+  std::vector<CrashReport> crashes;
+  std::vector<ClearanceReport> clearances;
   std::vector<std::string> quarantined_versions;
 
   template <typename Archive>
@@ -53,7 +53,7 @@
 
 /// Between any two daemons, and what stands in the store. May be lost, come twice or late.
 struct QuarantineNotice {
-  std::vector<CaseNews> cases;
+  std::vector<CaseUpdate> cases;
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/quarantine/quarantine_record.cc
+++ b/src/quarantine/quarantine_record.cc
@@ -15,7 +15,7 @@
 
 std::string QuarantineRecord::Summary(const QuarantineNotice& notice) {
   std::vector<std::string> rows;
-  for (const CaseNews& news : notice.cases) {
+  for (const CaseUpdate& news : notice.cases) {
     std::string row = ToString(news.fingerprint);
     for (const std::string& version : news.quarantined_versions) row += " " + version;
     rows.push_back(row);
--- a/src/quarantine/quarantine_service.cc
+++ b/src/quarantine/quarantine_service.cc
@@ -8,8 +8,8 @@
 
 namespace moorfold {
 
-using quarantine::Ruling;
-using quarantine::RulingKind;
+using quarantine::CaseChange;
+using quarantine::CaseChangeKind;
 using std::chrono::milliseconds;
 
 namespace {
@@ -39,17 +39,17 @@
 /// Of the store's entry, well below what a value may hold: 100 kB or so.
 constexpr std::size_t kMostRecorded = 512;
 
-const char* Name(RulingKind kind) {
+const char* Name(CaseChangeKind kind) {
   switch (kind) {
-    case RulingKind::kSuspected:
+    case CaseChangeKind::kSuspected:
       return "suspected";
-    case RulingKind::kQuarantined:
+    case CaseChangeKind::kQuarantined:
       return "quarantined";
-    case RulingKind::kCleared:
+    case CaseChangeKind::kCleared:
       return "cleared";
-    case RulingKind::kReleased:
+    case CaseChangeKind::kReleased:
       return "released";
-    case RulingKind::kForgotten:
+    case CaseChangeKind::kForgotten:
       return "forgotten";
   }
   return "unknown";
@@ -59,7 +59,7 @@
 
 QuarantineService::QuarantineService(boost::asio::io_context& context,
                                      quarantine::Settings settings, EventLog& log,
-                                     QuarantineFigures& figures, Ports ports)
+                                     QuarantineCounters& figures, Ports ports)
     : context_(context),
       book_(settings),
       settings_(settings),
@@ -76,8 +76,8 @@
 }
 
 void QuarantineService::Hear(const QuarantineNotice& notice) {
-  quarantine::CasesHeard heard;
-  for (const CaseNews& news : notice.cases) {
+  quarantine::CasesReceived heard;
+  for (const CaseUpdate& news : notice.cases) {
     if (ports_.service_exists(news.service))
       heard.cases.push_back(news);
     else
@@ -90,8 +90,8 @@
   figures_.cases_dropped += effects.dropped;
   figures_.cases = static_cast<std::int64_t>(book_.size());
   figures_.quarantined = static_cast<std::int64_t>(book_.quarantined());
-  for (const Ruling& ruling : effects.rulings) Log(ruling);
-  for (const std::string& server_id : effects.look_at)
+  for (const CaseChange& ruling : effects.changes) Log(ruling);
+  for (const std::string& server_id : effects.servers_to_probe)
     boost::asio::co_spawn(context_, LookAt(server_id), boost::asio::detached);
   if (effects.news.empty()) return;
   SpreadSoon(effects.news, own);
@@ -99,8 +99,9 @@
   ports_.changed();
 }
 
-void QuarantineService::Log(const Ruling& ruling) {
-  const bool routine = ruling.kind == RulingKind::kSuspected || ruling.kind == RulingKind::kCleared;
+void QuarantineService::Log(const CaseChange& ruling) {
+  const bool routine =
+      ruling.kind == CaseChangeKind::kSuspected || ruling.kind == CaseChangeKind::kCleared;
   log_.Write(routine ? LogRank::kDecision : LogRank::kFailure,
              EventLine(LogEvent::kQuarantine)
                  .Field(LogField::kState, Name(ruling.kind))
@@ -111,7 +112,7 @@
 
 /// Verdicts on what is undecided fall due once others could be heard.
 void QuarantineService::JudgeSoon() {
-  judge_timer_.expires_after(settings_.settle);
+  judge_timer_.expires_after(settings_.propagation_time);
   judge_timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) Apply(book_.Reduce(quarantine::Tick{}, BootClock::now()), true);
   });
@@ -143,9 +144,9 @@
   std::vector<QuarantineNotice> notices;
   const auto now = BootClock::now();
   for (const Fingerprint& fingerprint : fingerprints) {
-    if (!book_.Known(fingerprint)) continue;
+    if (!book_.HasCase(fingerprint)) continue;
     if (notices.empty() || notices.back().cases.size() >= kCasesOfNotice) notices.emplace_back();
-    notices.back().cases.push_back(book_.Tell(fingerprint, now));
+    notices.back().cases.push_back(book_.ExportCase(fingerprint, now));
   }
   return notices;
 }
@@ -179,17 +180,17 @@
   SendTo(Targets(kRepeatPeers), Pack(repeated));
 }
 
-void QuarantineService::Compare(std::uint64_t digest, const std::string& address) {
+void QuarantineService::SendCasesIfDigestDiffers(std::uint64_t digest, const std::string& address) {
   if (digest == book_.Digest()) return;
-  SendTo({address}, Pack(book_.Weighty(kCasesOfNotice * kNoticesOfExchange, cursor_)));
+  SendTo({address}, Pack(book_.NextCasesToSync(kCasesOfNotice * kNoticesOfExchange, cursor_)));
 }
 
-QuarantineNotice QuarantineService::Record() const {
+QuarantineNotice QuarantineService::QuarantinedCases() const {
   QuarantineNotice record;
   const auto now = BootClock::now();
   for (const quarantine::ListedCase& listed : book_.List(now)) {
     if (record.cases.size() >= kMostRecorded) break;
-    record.cases.push_back(book_.Tell(listed.fingerprint, now));
+    record.cases.push_back(book_.ExportCase(listed.fingerprint, now));
   }
   return record;
 }
@@ -197,7 +198,7 @@
 Awaitable<void> QuarantineService::LookAt(std::string server_id) {
   for (const milliseconds pause : kLooks) {
     co_await Sleep(pause);
-    if (!book_.Waiting(server_id)) co_return;
+    if (!book_.AwaitsConfirmation(server_id)) co_return;
     const std::optional<Endpoint> endpoint = ports_.server(server_id);
     if (!endpoint) co_return;
     UpstreamConnection connection(context_, *endpoint);
@@ -215,17 +216,19 @@
 Awaitable<void> QuarantineService::AwaitEvidence(const std::string& server_id,
                                                  const Fingerprint& fingerprint) {
   const auto until = BootClock::now() + kLongestSign;
-  while (book_.Waiting(server_id) && BootClock::now() < until) co_await signs_.Wait(until);
-  if (book_.Known(fingerprint)) co_await Sleep(kNewsTime);
+  while (book_.AwaitsConfirmation(server_id) && BootClock::now() < until)
+    co_await signs_.Wait(until);
+  if (book_.HasCase(fingerprint)) co_await Sleep(kNewsTime);
 }
 
-QuarantineService::Trial::Trial(QuarantineService& service, const Fingerprint& fingerprint,
-                                std::string server_id)
+QuarantineService::SuspectAttempt::SuspectAttempt(QuarantineService& service,
+                                                  const Fingerprint& fingerprint,
+                                                  std::string server_id)
     : service_(service), fingerprint_(fingerprint), server_id_(std::move(server_id)) {
   service_.trials_.emplace(fingerprint_, server_id_);
 }
 
-QuarantineService::Trial::~Trial() {
+QuarantineService::SuspectAttempt::~SuspectAttempt() {
   const auto [first, last] = service_.trials_.equal_range(fingerprint_);
   const auto own =
       std::find_if(first, last, [&](const auto& trial) { return trial.second == server_id_; });
@@ -233,7 +236,7 @@
   service_.ports_.changed();
 }
 
-std::vector<std::string> QuarantineService::ServersOnTrial() const {
+std::vector<std::string> QuarantineService::ServersWithSuspects() const {
   std::vector<std::string> servers;
   for (const auto& [fingerprint, server_id] : trials_) servers.push_back(server_id);
   return servers;
--- a/src/quarantine/quarantine_service.h
+++ b/src/quarantine/quarantine_service.h
@@ -14,12 +14,12 @@
 #include "common/boot_clock.h"
 #include "common/event_log.h"
 #include "http/http_types.h"
-#include "quarantine/case_book.h"
+#include "quarantine/crash_tracker.h"
 
 namespace moorfold {
 
 /// Counts of one daemon, for its figures.
-struct QuarantineFigures {
+struct QuarantineCounters {
   std::uint64_t servers_ended = 0;  ///< Under requests of this daemon, as far as shown.
   std::uint64_t refused = 0;        ///< Requests that were not sent since servers end under them.
   std::uint64_t cases_dropped = 0;  ///< Heard and not believed, or without room.
@@ -27,7 +27,7 @@
   std::int64_t quarantined = 0;
 };
 
-/// Keeps a daemon's case book (see quarantine::CaseBook) in touch with its surroundings: looks
+/// Keeps a daemon's case book (see quarantine::CrashTracker) in touch with its surroundings: looks
 /// whether servers live whose links have ended, tells other daemons what is new, writes the log.
 ///
 /// Spreading does without a leader: what this daemon saw goes at once to the leader and to some
@@ -55,11 +55,12 @@
   };
 
   QuarantineService(boost::asio::io_context& context, quarantine::Settings settings, EventLog& log,
-                    QuarantineFigures& figures, Ports ports);
+                    QuarantineCounters& figures, Ports ports);
 
-  const quarantine::CaseBook& book() const { return book_; }
-  quarantine::Standing At(const Fingerprint& fingerprint, const std::string& version) const {
-    return book_.At(fingerprint, version, BootClock::now());
+  const quarantine::CrashTracker& tracker() const { return book_; }
+  quarantine::QuarantineState StateFor(const Fingerprint& fingerprint,
+                                       const std::string& version) const {
+    return book_.StateFor(fingerprint, version, BootClock::now());
   }
 
   /// Takes in what has happened here.
@@ -72,12 +73,13 @@
   Awaitable<void> AwaitEvidence(const std::string& server_id, const Fingerprint& fingerprint);
 
   /// Of a try of a suspected request, while it is at a server.
-  class Trial {
+  class SuspectAttempt {
    public:
-    Trial(QuarantineService& service, const Fingerprint& fingerprint, std::string server_id);
-    ~Trial();
-    Trial(const Trial&) = delete;
-    Trial& operator=(const Trial&) = delete;
+    SuspectAttempt(QuarantineService& service, const Fingerprint& fingerprint,
+                   std::string server_id);
+    ~SuspectAttempt();
+    SuspectAttempt(const SuspectAttempt&) = delete;
+    SuspectAttempt& operator=(const SuspectAttempt&) = delete;
 
    private:
     QuarantineService& service_;
@@ -85,22 +87,24 @@
     std::string server_id_;
   };
   /// @return whether a try of the same request is at a server now.
-  bool OnTrial(const Fingerprint& fingerprint) const { return trials_.contains(fingerprint); }
+  bool HasAttemptInFlight(const Fingerprint& fingerprint) const {
+    return trials_.contains(fingerprint);
+  }
   /// @return servers that have a suspected request of this daemon now.
-  std::vector<std::string> ServersOnTrial() const;
+  std::vector<std::string> ServersWithSuspects() const;
 
   /// Twice a second: repeats what is young, forgets what is old.
   void Tick();
   /// @param digest of another daemon's book: it is told what it may lack.
-  void Compare(std::uint64_t digest, const std::string& address);
+  void SendCasesIfDigestDiffers(std::uint64_t digest, const std::string& address);
   /// @return all that is quarantined, as far as one entry of the store should carry.
-  QuarantineNotice Record() const;
+  QuarantineNotice QuarantinedCases() const;
 
  private:
   using Time = BootClock::time_point;
 
   void Apply(const quarantine::Effects& effects, bool own);
-  void Log(const quarantine::Ruling& ruling);
+  void Log(const quarantine::CaseChange& ruling);
   void SpreadSoon(const std::vector<Fingerprint>& news, bool own);
   void Spread();
   void JudgeSoon();
@@ -112,10 +116,10 @@
               const std::vector<QuarantineNotice>& notices);
 
   boost::asio::io_context& context_;
-  quarantine::CaseBook book_;
+  quarantine::CrashTracker book_;
   quarantine::Settings settings_;
   EventLog& log_;
-  QuarantineFigures& figures_;
+  QuarantineCounters& figures_;
   Ports ports_;
   AsyncSignal signs_;
   std::set<Fingerprint> outgoing_;
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -77,7 +77,7 @@
     answer.servers = {change, gone};
     answer.peers = {"10.0.0.4:7001"};
     answer.quarantine_digest = 99;
-    CaseNews news;
+    CaseUpdate news;
     news.fingerprint.bytes[0] = 7;
     news.fingerprint.bytes[1] = 9;
     news.service = "pool";
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -123,8 +123,8 @@
   CHECK(fixture.RunUntil([&] { return !fixture.Usable("i-2"); }, milliseconds(2'000)));
 }
 
-CaseNews Quarantined(const std::string& body) {
-  CaseNews news;
+CaseUpdate Quarantined(const std::string& body) {
+  CaseUpdate news;
   news.fingerprint = FingerprintOf({"host", "/", "model", body});
   news.service = "s";
   news.quarantined_versions = {"v1"};
--- a/test/platform/decoder_fuzz_test.cc
+++ b/test/platform/decoder_fuzz_test.cc
@@ -92,7 +92,7 @@
   sharing.daemons = 3;
   sharing.hosts = {"127.0.0.1:2"};
   QuarantineNotice quarantine;
-  quarantine.cases = {CaseNews{Fingerprint{}, "s", {{"i-1", "v1", 5}}, {}, {"v1"}}};
+  quarantine.cases = {CaseUpdate{Fingerprint{}, "s", {{"i-1", "v1", 5}}, {}, {"v1"}}};
   ChangeAnswer answer;
   answer.servers.push_back({{1, 4}, false, kProtocol.ParseServer("i-1", server)});
   const auto message = [](const std::string& text) { DecodeMessage<FleetMessage>(text); };
--- a/test/quarantine/crashing_request_test.cc
+++ b/test/quarantine/crashing_request_test.cc
@@ -46,11 +46,11 @@
 TEST_CASE("What is quarantined outlasts all daemons, and no entry is made for an unknown service") {
   // As a leader that is gone left it. The key stands before the configuration in each listing.
   const auto quarantined = [](const std::string& body, const std::string& service) {
-    return CaseNews{FingerprintOf({EmulatedPlatform::kHost, "/once/x", "", body}),
-                    service,
-                    {{"old-1", "v1", 5}, {"old-2", "v1", 5}, {"old-3", "v1", 5}},
-                    {},
-                    {"v1"}};
+    return CaseUpdate{FingerprintOf({EmulatedPlatform::kHost, "/once/x", "", body}),
+                      service,
+                      {{"old-1", "v1", 5}, {"old-2", "v1", 5}, {"old-3", "v1", 5}},
+                      {},
+                      {"v1"}};
   };
   QuarantineNotice record;
   record.cases = {quarantined("guilty", "booking"), quarantined("other", "no such service")};
--- a/test/quarantine/quarantine_record_test.cc
+++ b/test/quarantine/quarantine_record_test.cc
@@ -13,7 +13,7 @@
 
 constexpr const char* kKey = "moorfold/quarantine";
 
-CaseNews Quarantined(const std::string& body) {
+CaseUpdate Quarantined(const std::string& body) {
   return {FingerprintOf({"h", "/p", "", body}), "s", {{"i-1", "v1", 5}}, {}, {"v1"}};
 }
 
--- a/test/quarantine/quarantined_request_test.cc
+++ b/test/quarantine/quarantined_request_test.cc
@@ -44,10 +44,10 @@
 };
 
 bool Suspected(PipelineFixture& fixture, const std::string& body) {
-  quarantine::Standing standing{};
+  quarantine::QuarantineState standing{};
   const Fingerprint fingerprint = FingerprintOf({"h", "/p/x", "", body});
-  fixture.OnThread([&] { standing = fixture.quarantine().At(fingerprint, ""); });
-  return standing != quarantine::Standing::kClear;
+  fixture.OnThread([&] { standing = fixture.quarantine().StateFor(fingerprint, ""); });
+  return standing != quarantine::QuarantineState::kClear;
 }
 
 TEST_CASE("Tries of one request are known as such from whatever address they come") {
--- a/test/quarantine/spreading_model_test.cc
+++ b/test/quarantine/spreading_model_test.cc
@@ -7,15 +7,15 @@
 #include <random>
 #include <set>
 
-#include "quarantine/case_book.h"
+#include "quarantine/crash_tracker.h"
 
 namespace moorfold {
 namespace {
 
-using quarantine::CaseBook;
-using quarantine::CasesHeard;
+using quarantine::CasesReceived;
+using quarantine::CrashTracker;
 using quarantine::Effects;
-using quarantine::Standing;
+using quarantine::QuarantineState;
 using quarantine::Time;
 using std::chrono::milliseconds;
 
@@ -38,9 +38,10 @@
  public:
   SpreadingModel(const ModelSettings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed) {
-    quarantine::Settings book;
-    book.servers = settings.servers;
-    for (int daemon = 0; daemon < settings.daemons; ++daemon) daemons_.push_back({CaseBook(book)});
+    quarantine::Settings tracker;
+    tracker.servers = settings.servers;
+    for (int daemon = 0; daemon < settings.daemons; ++daemon)
+      daemons_.push_back({CrashTracker(tracker)});
   }
 
   /// The guilty request comes again each `pause` at any daemon, for `length`.
@@ -67,13 +68,13 @@
   std::size_t Knowing() const {
     return static_cast<std::size_t>(
         std::count_if(daemons_.begin(), daemons_.end(), [&](const Daemon& daemon) {
-          return daemon.book.At(guilty_, kVersion, now_) == Standing::kQuarantined;
+          return daemon.tracker.StateFor(guilty_, kVersion, now_) == QuarantineState::kQuarantined;
         }));
   }
 
  private:
   struct Daemon {
-    CaseBook book;
+    CrashTracker tracker;
     std::map<Fingerprint, Time> young = {};
     std::size_t cursor = 0;
     Time started = {};
@@ -81,7 +82,7 @@
   struct Datagram {
     Time at;
     std::size_t to;
-    std::vector<CaseNews> cases;
+    std::vector<CaseUpdate> cases;
     std::uint64_t digest = 0;  ///< With `from`: a report, to be compared.
     int from = -1;
     bool answer = false;  ///< The leader's, with its own digest.
@@ -90,7 +91,7 @@
   std::size_t Draw(std::size_t bound) {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(random_);
   }
-  void Send(std::size_t to, std::vector<CaseNews> cases, std::uint64_t digest = 0, int from = -1,
+  void Send(std::size_t to, std::vector<CaseUpdate> cases, std::uint64_t digest = 0, int from = -1,
             bool answer = false) {
     if (std::bernoulli_distribution(settings_.loss)(random_)) return;
     under_way_.push_back(
@@ -102,16 +103,16 @@
     if (own)
       for (const Fingerprint& news : effects.news) daemon.young[news] = now_;
     if (!own && !settings_.forwards) return;
-    const std::vector<CaseNews> told = Tell(daemon, effects.news);
+    const std::vector<CaseUpdate> told = Tell(daemon, effects.news);
     for (std::size_t peer = 0; peer < (own ? 8 : 3); ++peer) Send(Draw(daemons_.size()), told);
     if (settings_.leader && number == 0)
       for (std::size_t to = 1; to < daemons_.size(); ++to) Send(to, told);
     if (settings_.leader && number != 0) Send(0, told);
   }
-  std::vector<CaseNews> Tell(const Daemon& daemon, const std::vector<Fingerprint>& which) const {
-    std::vector<CaseNews> told;
+  std::vector<CaseUpdate> Tell(const Daemon& daemon, const std::vector<Fingerprint>& which) const {
+    std::vector<CaseUpdate> told;
     for (const Fingerprint& fingerprint : which)
-      told.push_back(daemon.book.Tell(fingerprint, now_));
+      told.push_back(daemon.tracker.Tell(fingerprint, now_));
     return told;
   }
   void Deliver() {
@@ -123,21 +124,21 @@
     });
     for (const Datagram& datagram : due) {
       Daemon& daemon = daemons_[datagram.to];
-      if (datagram.from >= 0 && datagram.digest != daemon.book.Digest())
+      if (datagram.from >= 0 && datagram.digest != daemon.tracker.Digest())
         Send(static_cast<std::size_t>(datagram.from),
-             Tell(daemon, daemon.book.Weighty(32, daemon.cursor)));
+             Tell(daemon, daemon.tracker.NextCasesToSync(32, daemon.cursor)));
       if (datagram.from >= 0 && !datagram.answer)
-        Send(static_cast<std::size_t>(datagram.from), {}, daemon.book.Digest(), 0, true);
+        Send(static_cast<std::size_t>(datagram.from), {}, daemon.tracker.Digest(), 0, true);
       if (!datagram.cases.empty())
-        Apply(datagram.to, daemon.book.Reduce(CasesHeard{datagram.cases}, now_), false);
+        Apply(datagram.to, daemon.tracker.Reduce(CasesReceived{datagram.cases}, now_), false);
     }
   }
   void Tick() {
     for (std::size_t number = 0; number < daemons_.size(); ++number) {
       Daemon& daemon = daemons_[number];
-      Apply(number, daemon.book.Reduce(quarantine::Tick{}, now_), true);
+      Apply(number, daemon.tracker.Reduce(quarantine::Tick{}, now_), true);
       if (settings_.compares && settings_.leader && number != 0)
-        Send(0, {}, daemon.book.Digest(), static_cast<int>(number));
+        Send(0, {}, daemon.tracker.Digest(), static_cast<int>(number));
       if (!settings_.repeats) continue;
       std::vector<Fingerprint> young;
       for (const auto& [fingerprint, at] : daemon.young)
@@ -151,30 +152,31 @@
   void TryGuilty() {
     if (restarted_ < settings_.restarts) {
       ++restarted_;
-      quarantine::Settings book;
-      book.servers = settings_.servers;
+      quarantine::Settings tracker;
+      tracker.servers = settings_.servers;
       Daemon& restarted = daemons_[Draw(daemons_.size())];
-      restarted = {CaseBook(book)};
+      restarted = {CrashTracker(tracker)};
       restarted.started = now_;
     }
     const std::size_t number = Draw(daemons_.size());
-    if (daemons_[number].book.At(guilty_, kVersion, now_) == Standing::kQuarantined) return;
+    if (daemons_[number].tracker.StateFor(guilty_, kVersion, now_) == QuarantineState::kQuarantined)
+      return;
     // Who has just started is not in touch yet.
     const bool in_touch = now_ - daemons_[number].started > milliseconds(3'000);
     if (in_touch && ended_ >= 3 && now_ - third_ > milliseconds(3'000)) ++sent_late_;
     const std::string server = "i-" + std::to_string(ended_);
     if (++ended_ == 3) third_ = now_;
-    daemons_[number].book.Reduce(quarantine::LinkEnded{guilty_, "s", server, kVersion}, now_);
+    daemons_[number].tracker.Reduce(quarantine::LinkEnded{guilty_, "s", server, kVersion}, now_);
     for (int each = 0; each < settings_.innocents; ++each) {
       // A safe request that broke off comes again, and may share the next server as well.
       const Fingerprint other = Innocent(ended_ / 2 * 10 + each);
       const std::size_t at = Draw(daemons_.size());
-      if (daemons_[at].book.At(other, kVersion, now_) == Standing::kQuarantined)
+      if (daemons_[at].tracker.StateFor(other, kVersion, now_) == QuarantineState::kQuarantined)
         ++innocents_refused_;
-      daemons_[at].book.Reduce(quarantine::LinkEnded{other, "s", server, kVersion}, now_);
+      daemons_[at].tracker.Reduce(quarantine::LinkEnded{other, "s", server, kVersion}, now_);
     }
     for (std::size_t each = 0; each < daemons_.size(); ++each)
-      Apply(each, daemons_[each].book.Reduce(quarantine::ServerEnded{server}, now_), true);
+      Apply(each, daemons_[each].tracker.Reduce(quarantine::ServerEnded{server}, now_), true);
   }
   static Fingerprint Innocent(int number) {
     return FingerprintOf({"host", "/p", "", "innocent " + std::to_string(number)});
