--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -90,9 +90,9 @@
     handlers_.configuration_asked(*text, from);
   } else if (const auto* part = std::get_if<ConfigurationPart>(&message)) {
     handlers_.configuration_answered(*part, from);
-  } else if (const auto* turn = std::get_if<PermitQuestion>(&message)) {
+  } else if (const auto* turn = std::get_if<PermitRequest>(&message)) {
     handlers_.permit_asked(*turn, from);
-  } else if (const auto* given = std::get_if<PermitAnswer>(&message)) {
+  } else if (const auto* given = std::get_if<PermitResponse>(&message)) {
     handlers_.permit_answered(*given, from);
   } else {
     handlers_.offered(std::get<LeadershipOffer>(message));
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -45,8 +45,8 @@
   using ConfigurationPartHandler =
       std::function<void(const ConfigurationPart&, const std::string& from)>;
   /// @param from "IP:PORT" of the sender.
-  using PermitQuestionHandler = std::function<void(const PermitQuestion&, const std::string& from)>;
-  using PermitAnswerHandler = std::function<void(const PermitAnswer&, const std::string& from)>;
+  using PermitQuestionHandler = std::function<void(const PermitRequest&, const std::string& from)>;
+  using PermitAnswerHandler = std::function<void(const PermitResponse&, const std::string& from)>;
   using OfferHandler = std::function<void(const LeadershipOffer&)>;
   /// Hears why a datagram could not be sent.
   using DropHandler = std::function<void(const std::string& problem)>;
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -115,7 +115,7 @@
 using FleetMessage = std::variant<DemandReport, PlacementNotice, ChangeAnswer, LeadershipOffer,
                                   QuarantineNotice, CreditSharing, CreditQuestion, CreditAnswer,
                                   RelayPlan, ServersQuestion, ServersPage, ConfigurationQuestion,
-                                  ConfigurationPart, PermitQuestion, PermitAnswer>;
+                                  ConfigurationPart, PermitRequest, PermitResponse>;
 
 template <typename Archive>
 void serialize(Archive& archive, ModelReference& name) {
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -145,10 +145,10 @@
                 [this](const ConfigurationPart& part, const std::string& from) {
                   relays_.TakeConfigurationPart(part, from);
                 },
-                [this](const PermitQuestion& question, const std::string& from) {
+                [this](const PermitRequest& question, const std::string& from) {
                   permits_.Hear(question, from);
                 },
-                [this](const PermitAnswer& answer, const std::string& from) {
+                [this](const PermitResponse& answer, const std::string& from) {
                   permits_.Hear(answer, from);
                 },
                 [this](const std::string& problem) {
@@ -220,7 +220,7 @@
                        relays_.TakeRecord(entry, revision);
                      });
   quota_.Start();
-  statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
+  statements_.OnLimitEnded([this](const Server& server) { permits_.ReportLimitRemoved(server); });
   // A start under the same id is the end of the process before.
   store_view_.OnRestart([this](const std::string& id) {
     if (quarantine_.tracker().AwaitsConfirmation(id)) quarantine_.Note(quarantine::ServerEnded{id});
@@ -339,19 +339,19 @@
   return ports;
 }
 
-limits::PoolRole Gateway::PermitRole() const {
-  if (election_.leading()) return limits::PoolRole::kLeader;
+limits::AllocatorRole Gateway::PermitRole() const {
+  if (election_.leading()) return limits::AllocatorRole::kLeader;
   const std::string leader = LeaderAddress();
   const bool other_leads = !leader.empty() && leader != ToString(channel_.endpoint());
-  return other_leads ? limits::PoolRole::kNone : limits::PoolRole::kDeputy;
+  return other_leads ? limits::AllocatorRole::kNone : limits::AllocatorRole::kDeputy;
 }
 
 PermitService::Ports Gateway::PermitPorts() {
   PermitService::Ports ports;
-  ports.ask = [this](const std::string& to, const PermitQuestion& question) {
+  ports.ask = [this](const std::string& to, const PermitRequest& question) {
     channel_.SendTo(to, question);
   };
-  ports.answer = [this](const std::string& to, const PermitAnswer& answer) {
+  ports.answer = [this](const std::string& to, const PermitResponse& answer) {
     channel_.SendTo(to, answer);
   };
   ports.leader = [this] { return LeaderAddress(); };
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -71,7 +71,7 @@
   bool ServiceExists(const std::string& service) const;
   QuotaService::Ports QuotaPorts();
   /// @return whether this daemon shares servers' limits out.
-  limits::PoolRole PermitRole() const;
+  limits::AllocatorRole PermitRole() const;
   PermitService::Ports PermitPorts();
   void TakeSharing(const CreditSharing& sharing);
   void TakeSharingRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -74,7 +74,7 @@
   Count(text, "permit_answers_dropped", permits.dropped);
   Count(text, "permits_granted", permits.granted);
   Count(text, "permits_denied", permits.denied);
-  Count(text, "permits_own", permits.own_turns);
+  Count(text, "permits_own", permits.fallback_permits);
   tenant_requests.Render("tenant_requests_total", text);
   tenant_units.Render("tenant_units_total", text);
   requests_ended.Render("requests_ended_total", text);
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -7,7 +7,7 @@
 
 #include "gateway/labelled_counter.h"
 #include "quarantine/quarantine_service.h"
-#include "server_limits/permit_figures.h"
+#include "server_limits/permit_counters.h"
 #include "tenants/quota_service.h"
 
 namespace moorfold {
@@ -84,7 +84,7 @@
   std::int64_t peak_memory_kb = 0;
   QuarantineCounters quarantine;
   QuotaFigures quota;
-  PermitFigures permits;
+  PermitCounters permits;
   LabelledCounter tenant_requests;  ///< Of tenants: by tenant, outcome and reason.
   LabelledCounter tenant_units;     ///< Counted against limits, by tenant.
   LatencyHistogram time_to_head;    ///< From a request's arrival to the head of its answer.
--- a/src/server_limits/own_turns.h
+++ b/src/server_limits/fallback_permits.h
@@ -14,15 +14,16 @@
 /// What is not used is lost, so that daemons never spend saved turns all at once.
 ///
 /// Pure but for the draw of its times; one thread.
-class OwnTurns {
+class FallbackPermits {
  public:
   using Time = BootClock::time_point;
 
-  explicit OwnTurns(std::uint64_t seed) : random_(seed) {}
+  explicit FallbackPermits(std::uint64_t seed) : random_(seed) {}
 
   /// Takes this moment's turn, if it is one.
   /// @param daemons that share the limit.
-  bool Take(const std::string& server_id, double limit_per_second, std::uint32_t daemons, Time now);
+  bool TryAcquire(const std::string& server_id, double limit_per_second, std::uint32_t daemons,
+                  Time now);
 
  private:
   struct Turns {
--- a/src/server_limits/permit_pool.cc
+++ b/src/server_limits/permit_allocator.cc
@@ -1,4 +1,4 @@
-#include "server_limits/permit_pool.h"
+#include "server_limits/permit_allocator.h"
 
 #include <algorithm>
 
@@ -31,14 +31,14 @@
 
 }  // namespace
 
-BootClock::duration PermitPool::Between(const Entry& entry, PoolRole role) {
-  const double share = role == PoolRole::kLeader ? kLeaderShare : kDeputyShare;
+BootClock::duration PermitAllocator::Between(const Entry& entry, AllocatorRole role) {
+  const double share = role == AllocatorRole::kLeader ? kLeaderShare : kDeputyShare;
   const double per_second = std::max(kProbesPerSecond, share * entry.limit_per_second.value_or(0));
   return std::chrono::duration_cast<BootClock::duration>(
       std::chrono::duration<double>(1 / per_second));
 }
 
-void PermitPool::Forget(Time now) {
+void PermitAllocator::Forget(Time now) {
   if (now < forget_due_ && entries_.size() < kMostServers) return;
   forget_due_ = now + kForgottenAfter;
   std::erase_if(entries_, [&](const auto& entry) {
@@ -46,7 +46,8 @@
   });
 }
 
-PermitPool::Entry& PermitPool::Find(const PermitQuestion& question, PoolRole role, Time now) {
+PermitAllocator::Entry& PermitAllocator::Find(const PermitRequest& question, AllocatorRole role,
+                                              Time now) {
   const Time stated_at = now - Bounded(question.age_us);
   const auto [found, fresh] = entries_.try_emplace(Key{question.server_id, question.life});
   Entry& entry = found->second;
@@ -61,9 +62,10 @@
   return entry;
 }
 
-PermitAnswer PermitPool::Answer(const PermitQuestion& question, PoolRole role, Time now) {
-  PermitAnswer answer{question.asked_at_us, PermitVerdict::kNotHere, 0};
-  if (role == PoolRole::kNone) return answer;
+PermitResponse PermitAllocator::Answer(const PermitRequest& question, AllocatorRole role,
+                                       Time now) {
+  PermitResponse answer{question.asked_at_us, PermitVerdict::kNotAllocator, 0};
+  if (role == AllocatorRole::kNone) return answer;
   Forget(now);
   Entry& entry = Find(question, role, now);
   if (!entry.limit_per_second) {
@@ -72,7 +74,7 @@
   }
   const BootClock::duration between = Between(entry, role);
   const BootClock::duration wait = std::max(BootClock::duration{}, entry.next_turn - now);
-  if (question.patience_us >= 0 && wait <= Bounded(question.patience_us)) {
+  if (question.max_wait_us >= 0 && wait <= Bounded(question.max_wait_us)) {
     entry.next_turn = std::max(entry.next_turn, now - between * kTurnsKept) + between;
     entry.denied = std::max(0.0, entry.denied - kQuestionsPerTurn);
     answer.verdict = PermitVerdict::kGranted;
@@ -82,8 +84,8 @@
   answer.verdict = PermitVerdict::kDenied;
   const auto behind =
       std::chrono::duration_cast<BootClock::duration>(between * entry.denied / kQuestionsPerTurn);
-  if (question.patience_us >= 0) ++entry.denied;
-  answer.wait_us = Microseconds(std::min<BootClock::duration>(wait + behind, kLongestDenied));
+  if (question.max_wait_us >= 0) ++entry.denied;
+  answer.wait_us = Microseconds(std::min<BootClock::duration>(wait + behind, kMaxRetryDelay));
   return answer;
 }
 
--- a/src/server_limits/permit_pool.h
+++ b/src/server_limits/permit_allocator.h
@@ -14,7 +14,7 @@
 using Time = BootClock::time_point;
 
 /// Whether this daemon gives turns out.
-enum class PoolRole : std::uint8_t {
+enum class AllocatorRole : std::uint8_t {
   kNone,    ///< Another leads.
   kDeputy,  ///< It led last, as far as it knows: its lease has run out, and it knows of no other.
   kLeader
@@ -29,9 +29,9 @@
 /// pools, as tenants' quotas have it, needs every daemon to know of every limited server.
 ///
 /// Pure; one thread.
-class PermitPool {
+class PermitAllocator {
  public:
-  PermitAnswer Answer(const PermitQuestion& question, PoolRole role, Time now);
+  PermitResponse Answer(const PermitRequest& question, AllocatorRole role, Time now);
   /// @return servers of which a limit is known.
   std::size_t size() const { return entries_.size(); }
 
@@ -46,8 +46,8 @@
     Time asked_at{};
   };
 
-  Entry& Find(const PermitQuestion& question, PoolRole role, Time now);
-  static BootClock::duration Between(const Entry& entry, PoolRole role);
+  Entry& Find(const PermitRequest& question, AllocatorRole role, Time now);
+  static BootClock::duration Between(const Entry& entry, AllocatorRole role);
   void Forget(Time now);
 
   std::map<Key, Entry> entries_;
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -23,14 +23,14 @@
 }  // namespace
 
 PermitService::PermitService(boost::asio::io_context& context, std::string self,
-                             PermitFigures& figures, Ports ports)
+                             PermitCounters& figures, Ports ports)
     : self_(std::move(self)),
       figures_(figures),
       ports_(std::move(ports)),
-      own_turns_(std::hash<std::string>{}(self_)),
+      fallback_permits_(std::hash<std::string>{}(self_)),
       answered_(context.get_executor()) {}
 
-PermitQuestion PermitService::MakeQuestion(const Server& server, microseconds patience) {
+PermitRequest PermitService::MakeQuestion(const Server& server, microseconds max_wait) {
   const auto now = BootClock::now();
   // Questions are told apart by it.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
@@ -41,14 +41,14 @@
           standing.limit_per_second.has_value(),
           standing.limit_per_second.value_or(0),
           Microseconds(now - standing.limit_as_of),
-          patience.count()};
+          max_wait.count()};
 }
 
-Awaitable<std::optional<PermitAnswer>> PermitService::Ask(const PermitQuestion& question) {
+Awaitable<std::optional<PermitResponse>> PermitService::Ask(const PermitRequest& question) {
   ++figures_.asked;
-  if (ports_.role() == limits::PoolRole::kLeader) {
+  if (ports_.role() == limits::AllocatorRole::kLeader) {
     ++figures_.answered;
-    co_return pool_.Answer(question, limits::PoolRole::kLeader, BootClock::now());
+    co_return pool_.Answer(question, limits::AllocatorRole::kLeader, BootClock::now());
   }
   const std::string leader = ports_.leader();
   const auto asked_at = BootClock::now();
@@ -58,9 +58,9 @@
   ports_.ask(leader, question);
   const Time give_up = asked_at + limits::kAnswerTimeout;
   while (!open_[id] && BootClock::now() < give_up) co_await answered_.Wait(give_up);
-  std::optional<PermitAnswer> answer = open_[id];
+  std::optional<PermitResponse> answer = open_[id];
   open_.erase(id);
-  const bool here = answer && answer->verdict != PermitVerdict::kNotHere;
+  const bool here = answer && answer->verdict != PermitVerdict::kNotAllocator;
   if (!answer) ++figures_.unanswered;
   if (here) co_return answer;
   silent_until_ = BootClock::now() + kAskSilentAgain;
@@ -70,8 +70,8 @@
 bool PermitService::TakeOwnTurn(Server& server) {
   const auto now = BootClock::now();
   const double limit = server.standing().limit_per_second.value_or(0);
-  if (own_turns_.Take(server.record().id, limit, ports_.daemons(), now)) {
-    ++figures_.own_turns;
+  if (fallback_permits_.TryAcquire(server.record().id, limit, ports_.daemons(), now)) {
+    ++figures_.fallback_permits;
     return true;
   }
   ++figures_.denied;
@@ -79,10 +79,10 @@
   return false;
 }
 
-Awaitable<bool> PermitService::Acquire(ServerPtr server, milliseconds patience) {
+Awaitable<bool> PermitService::Acquire(ServerPtr server, milliseconds max_wait) {
   if (!server->standing().limit_per_second) co_return true;
-  const PermitQuestion question = MakeQuestion(*server, patience);
-  const std::optional<PermitAnswer> answer = co_await Ask(question);
+  const PermitRequest question = MakeQuestion(*server, max_wait);
+  const std::optional<PermitResponse> answer = co_await Ask(question);
   if (!answer) co_return TakeOwnTurn(*server);
   const auto now = BootClock::now();
   if (answer->verdict == PermitVerdict::kUnlimited) {
@@ -90,9 +90,9 @@
     co_return true;
   }
   const bool granted = answer->verdict == PermitVerdict::kGranted;
-  const microseconds least = granted ? microseconds(0) : microseconds(limits::kShortestDenied);
+  const microseconds least = granted ? microseconds(0) : microseconds(limits::kMinRetryDelay);
   const microseconds longest =
-      granted ? microseconds(patience) : microseconds(limits::kLongestDenied);
+      granted ? microseconds(max_wait) : microseconds(limits::kMaxRetryDelay);
   const microseconds wait = std::clamp(microseconds(answer->wait_us), least, longest);
   if (!granted) {
     ++figures_.denied;
@@ -104,24 +104,24 @@
   co_return true;
 }
 
-void PermitService::TellUnlimited(const Server& server) {
+void PermitService::ReportLimitRemoved(const Server& server) {
   constexpr microseconds kTellsOnly{-1};
-  const PermitQuestion news = MakeQuestion(server, kTellsOnly);
-  if (ports_.role() == limits::PoolRole::kLeader) {
-    pool_.Answer(news, limits::PoolRole::kLeader, BootClock::now());
+  const PermitRequest news = MakeQuestion(server, kTellsOnly);
+  if (ports_.role() == limits::AllocatorRole::kLeader) {
+    pool_.Answer(news, limits::AllocatorRole::kLeader, BootClock::now());
     return;
   }
   const std::string leader = ports_.leader();
   if (!leader.empty() && leader != self_) ports_.ask(leader, news);
 }
 
-void PermitService::Hear(const PermitQuestion& question, const std::string& from) {
+void PermitService::Hear(const PermitRequest& question, const std::string& from) {
   ++figures_.answered;
-  const PermitAnswer answer = pool_.Answer(question, ports_.role(), BootClock::now());
-  if (question.patience_us >= 0) ports_.answer(from, answer);
+  const PermitResponse answer = pool_.Answer(question, ports_.role(), BootClock::now());
+  if (question.max_wait_us >= 0) ports_.answer(from, answer);
 }
 
-void PermitService::Hear(const PermitAnswer& answer, const std::string& from) {
+void PermitService::Hear(const PermitResponse& answer, const std::string& from) {
   const auto open = open_.find(answer.asked_at_us);
   if (open == open_.end() || from != ports_.leader()) {
     ++figures_.dropped;
--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -30,8 +30,8 @@
                                      [](const ServersPage&, const std::string&) {},
                                      [](const ConfigurationQuestion&, const std::string&) {},
                                      [](const ConfigurationPart&, const std::string&) {},
-                                     [](const PermitQuestion&, const std::string&) {},
-                                     [](const PermitAnswer&, const std::string&) {},
+                                     [](const PermitRequest&, const std::string&) {},
+                                     [](const PermitResponse&, const std::string&) {},
                                      [](const std::string&) {}};
   const DemandChannel first(context, {"127.0.0.1", 0}, none);
   try {
@@ -65,8 +65,8 @@
       [](const ServersPage&, const std::string&) {},
       [](const ConfigurationQuestion&, const std::string&) {},
       [](const ConfigurationPart&, const std::string&) {},
-      [](const PermitQuestion&, const std::string&) {},
-      [](const PermitAnswer&, const std::string&) {},
+      [](const PermitRequest&, const std::string&) {},
+      [](const PermitResponse&, const std::string&) {},
       [](const std::string&) {},
       [&](const UnreadMessage& message) { dropped.push_back(message.problem); }};
   DemandChannel leader(context, {"127.0.0.1", 0}, to_leader);
@@ -87,8 +87,8 @@
       [](const ServersPage&, const std::string&) {},
       [](const ConfigurationQuestion&, const std::string&) {},
       [](const ConfigurationPart&, const std::string&) {},
-      [](const PermitQuestion&, const std::string&) {},
-      [](const PermitAnswer&, const std::string&) {},
+      [](const PermitRequest&, const std::string&) {},
+      [](const PermitResponse&, const std::string&) {},
       [](const std::string&) {}};
   DemandChannel daemon(context, {"127.0.0.1", 0}, to_daemon);
   leader.Start();
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -265,8 +265,8 @@
     return {{"permit_question", EncodeMessage(FleetMessage(question))},
             {"permit_answer", EncodeMessage(FleetMessage(answer))}};
   }
-  PermitQuestion question{123, "i-1", 77, true, 0.5, 20'000, 400'000};
-  PermitAnswer answer{123, PermitVerdict::kDenied, 900'000};
+  PermitRequest question{123, "i-1", 77, true, 0.5, 20'000, 400'000};
+  PermitResponse answer{123, PermitVerdict::kDenied, 900'000};
 };
 
 TEST_CASE("Messages on limits of servers are written, and read, as the first build wrote them") {
@@ -275,11 +275,11 @@
     CAPTURE(name);
     CHECK(bytes == Load(kPermits, name));
   }
-  const auto question = LoadMessage<PermitQuestion>(kPermits, "permit_question");
+  const auto question = LoadMessage<PermitRequest>(kPermits, "permit_question");
   CHECK(question.server_id == "i-1");
   CHECK(question.limit_per_second == 0.5);
-  CHECK(question.patience_us == 400'000);
-  const auto answer = LoadMessage<PermitAnswer>(kPermits, "permit_answer");
+  CHECK(question.max_wait_us == 400'000);
+  const auto answer = LoadMessage<PermitResponse>(kPermits, "permit_answer");
   CHECK(answer.verdict == PermitVerdict::kDenied);
   CHECK(answer.wait_us == 900'000);
 }
--- a/test/gateway/pipeline_fixture.h
+++ b/test/gateway/pipeline_fixture.h
@@ -155,10 +155,10 @@
   /// Of a daemon that leads and has no others.
   static PermitService::Ports AlonePermitPorts() {
     PermitService::Ports ports;
-    ports.ask = [](const std::string&, const PermitQuestion&) {};
-    ports.answer = [](const std::string&, const PermitAnswer&) {};
+    ports.ask = [](const std::string&, const PermitRequest&) {};
+    ports.answer = [](const std::string&, const PermitResponse&) {};
     ports.leader = [] { return std::string("self"); };
-    ports.role = [] { return limits::PoolRole::kLeader; };
+    ports.role = [] { return limits::AllocatorRole::kLeader; };
     ports.daemons = [] { return 1U; };
     return ports;
   }
--- a/test/server_limits/permit_model_test.cc
+++ b/test/server_limits/permit_model_test.cc
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "fleet/server_statement.h"
+#include "server_limits/fallback_permits.h"
 #include "server_limits/limit_shares.h"
-#include "server_limits/own_turns.h"
-#include "server_limits/permit_pool.h"
+#include "server_limits/permit_allocator.h"
 
 namespace moorfold::limits {
 namespace {
@@ -74,8 +74,8 @@
     std::optional<Time> told_at;
     Time at_limit_until{};
     Time silent_until{};
-    OwnTurns own{0};
-    PermitPool pool;
+    FallbackPermits own{0};
+    PermitAllocator pool;
     int leader = 0;  ///< As it knows.
     int life = 0;
   };
@@ -90,7 +90,7 @@
 
   Daemon Fresh(int number) {
     Daemon daemon;
-    daemon.own = OwnTurns(random_() + static_cast<std::uint64_t>(number));
+    daemon.own = FallbackPermits(random_() + static_cast<std::uint64_t>(number));
     daemon.leader = leader_;
     return daemon;
   }
@@ -102,9 +102,9 @@
     events_.push({now_ + after, next_event_++, std::move(action)});
   }
 
-  PoolRole RoleOf(int number) const {
-    if (number == leader_) return PoolRole::kLeader;
-    return number == deputy_ ? PoolRole::kDeputy : PoolRole::kNone;
+  AllocatorRole RoleOf(int number) const {
+    if (number == leader_) return AllocatorRole::kLeader;
+    return number == deputy_ ? AllocatorRole::kDeputy : AllocatorRole::kNone;
   }
   void KillLeader() {
     leader_ = -1;
@@ -148,7 +148,7 @@
       TakeOwnTurn(number);
       return;
     }
-    const PermitQuestion question{
+    const PermitRequest question{
         std::chrono::duration_cast<microseconds>(now_.time_since_epoch()).count(),
         "i",
         0,
@@ -169,7 +169,7 @@
     Later(Draw(10), [this, number, life, answered, question, leader] {
       Daemon& pool = daemons_[static_cast<std::size_t>(leader)];
       if (leader_ < 0) return;  // Killed.
-      const PermitAnswer answer = pool.pool.Answer(question, RoleOf(leader), now_);
+      const PermitResponse answer = pool.pool.Answer(question, RoleOf(leader), now_);
       if (Chance(trouble_.loss)) return;
       Later(Draw(10), [this, number, life, answered, answer] {
         if (*answered || daemons_[static_cast<std::size_t>(number)].life != life) return;
@@ -178,9 +178,9 @@
       });
     });
   }
-  void TakeAnswer(int number, const PermitAnswer& answer) {
+  void TakeAnswer(int number, const PermitResponse& answer) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
-    if (answer.verdict == PermitVerdict::kNotHere) {
+    if (answer.verdict == PermitVerdict::kNotAllocator) {
       daemon.silent_until = now_ + kAskSilentAgain;
       TakeOwnTurn(number);
     } else if (answer.verdict == PermitVerdict::kDenied) {
@@ -213,11 +213,11 @@
         const bool limited = daemon.standing.limit_per_second.has_value();
         daemon.standing.Take(statement, sent_at, now_, true);
         if (statement.limit_per_second && !daemon.told_at) daemon.told_at = now_;
-        if (limited && !daemon.standing.limit_per_second) TellUnlimited(number);
+        if (limited && !daemon.standing.limit_per_second) ReportLimitRemoved(number);
       });
     });
   }
-  void TellUnlimited(int number) {
+  void ReportLimitRemoved(int number) {
     const int leader = daemons_[static_cast<std::size_t>(number)].leader;
     if (leader < 0 || Chance(trouble_.loss)) return;
     Later(Draw(10), [this, leader] {
@@ -231,9 +231,9 @@
     const bool told = daemon.told_at && now_ - *daemon.told_at >= kToldFor;
     if (!limit_ || !told || now_ < kStart + kContact) return;
     arrivals_.push_back(now_);
-    while (arrivals_.front() <= now_ - kWindow) arrivals_.pop_front();
-    const double seconds = std::chrono::duration<double>(kWindow).count();
-    const double allowed = kOvershoot * *limit_ * seconds + kFreeRequests;
+    while (arrivals_.front() <= now_ - kLimitWindow) arrivals_.pop_front();
+    const double seconds = std::chrono::duration<double>(kLimitWindow).count();
+    const double allowed = kMaxOvershootFactor * *limit_ * seconds + kFreeRequests;
     worst_excess_ = std::max(worst_excess_, static_cast<double>(arrivals_.size()) - allowed);
   }
 
