--- a/src/quarantine/crash_tracker.cc
+++ b/src/quarantine/crash_tracker.cc
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// Of one case; more than can count.
-constexpr std::size_t kMostCrashes = 8;
-constexpr std::size_t kMostVersions = 4;
-/// Links that wait for a sign of their servers' end: 64 requests on each of 64 servers.
-constexpr std::size_t kMostEndedLinks = 4'096;
-constexpr std::size_t kMostServed = 2'048;
-/// Longer names come from nobody who runs this.
-constexpr std::size_t kLongestName = 200;
-/// With fewer servers no request stands out from its neighbours.
-constexpr std::size_t kLeastToCompare = 2;
+/// Per case; more than the number of crashes that a decision needs.
+constexpr std::size_t kMaxCrashesPerCase = 8;
+constexpr std::size_t kMaxVersionsPerCase = 4;
+/// Unconfirmed connections: 64 requests on each of 64 servers.
+constexpr std::size_t kMaxUnconfirmedLinks = 4'096;
+constexpr std::size_t kMaxRecentSuccesses = 2'048;
+/// Server IDs, services and versions of legitimate daemons are shorter; longer ones are rejected.
+constexpr std::size_t kMaxNameLength = 200;
+/// With crashes on fewer servers, a request cannot be told apart from the others on the same
+/// server.
+constexpr std::size_t kMinCrashesToCompare = 2;
 
 bool Contains(const std::vector<std::string>& names, std::string_view name) {
   return std::find(names.begin(), names.end(), name) != names.end();
@@ -27,394 +28,415 @@
   return std::max<std::int64_t>(0, std::chrono::duration_cast<Milliseconds>(now - at).count());
 }
 
-bool ShortName(const std::string& name) { return name.size() <= kLongestName; }
+bool HasValidLength(const std::string& name) { return name.size() <= kMaxNameLength; }
 
 }  // namespace
 
-std::size_t CrashTracker::CrashesOf(const Case& found, std::string_view version) {
+std::size_t CrashTracker::CrashCount(const Case& tracked, std::string_view version) {
   return static_cast<std::size_t>(
-      std::count_if(found.crashes.begin(), found.crashes.end(),
+      std::count_if(tracked.crashes.begin(), tracked.crashes.end(),
                     [&](const Crash& crash) { return crash.version == version; }));
 }
 
 Effects CrashTracker::Reduce(const Event& event, Time now) {
   Effects effects;
-  std::visit([&](const auto& each) { Take(each, now, effects); }, event);
+  std::visit([&](const auto& each) { Handle(each, now, effects); }, event);
   return effects;
 }
 
-void CrashTracker::Take(const LinkEnded& event, Time now, Effects& effects) {
-  if (settings_.servers == 0 || ended_link_count_ >= kMostEndedLinks) return;
-  std::vector<EndedLink>& waiting = ended_links_[event.server_id];
-  if (waiting.empty()) effects.servers_to_probe.push_back(event.server_id);
-  waiting.push_back({event, now});
-  ++ended_link_count_;
+void CrashTracker::Handle(const LinkEnded& event, Time now, Effects& effects) {
+  if (settings_.servers == 0 || unconfirmed_link_count_ >= kMaxUnconfirmedLinks) return;
+  std::vector<UnconfirmedLink>& unconfirmed = unconfirmed_links_[event.server_id];
+  if (unconfirmed.empty()) effects.servers_to_probe.push_back(event.server_id);
+  unconfirmed.push_back({event, now});
+  ++unconfirmed_link_count_;
 }
 
-void CrashTracker::Take(const ServerEnded& event, Time now, Effects& effects) {
-  const auto waiting = ended_links_.find(event.server_id);
-  if (waiting == ended_links_.end()) return;
-  std::vector<Fingerprint> blamed;
-  for (const EndedLink& ended : waiting->second) {
+void CrashTracker::Handle(const ServerEnded& event, Time now, Effects& effects) {
+  const auto unconfirmed = unconfirmed_links_.find(event.server_id);
+  if (unconfirmed == unconfirmed_links_.end()) return;
+  std::vector<Fingerprint> affected;
+  for (const UnconfirmedLink& ended : unconfirmed->second) {
     const Fingerprint& fingerprint = ended.link.fingerprint;
-    if (ServedLately(fingerprint, now)) continue;
-    Case* found = FindOrMake(fingerprint, ended.link.service);
-    if (found == nullptr) {
+    if (SucceededRecently(fingerprint, now)) continue;
+    Case* tracked = FindOrCreateCase(fingerprint, ended.link.service);
+    if (tracked == nullptr) {
       ++effects.dropped;
       continue;
     }
-    if (AddCrash(fingerprint, *found, {event.server_id, ended.link.version, ended.at}, now))
-      blamed.push_back(fingerprint);
+    if (AddCrash(fingerprint, *tracked, {event.server_id, ended.link.version, ended.at}, now))
+      affected.push_back(fingerprint);
   }
-  ended_link_count_ -= waiting->second.size();
-  ended_links_.erase(waiting);
-  for (const Fingerprint& fingerprint : blamed) {
-    const auto known = cases_.find(fingerprint);
-    if (known == cases_.end()) continue;  // It made room for another of the same server.
-    Case& found = known->second;
-    effects.news.push_back(fingerprint);
+  unconfirmed_link_count_ -= unconfirmed->second.size();
+  unconfirmed_links_.erase(unconfirmed);
+  for (const Fingerprint& fingerprint : affected) {
+    const auto existing = cases_.find(fingerprint);
+    if (existing == cases_.end())
+      continue;  // Evicted to make room for another case of the same server.
+    Case& tracked = existing->second;
+    effects.updated_cases.push_back(fingerprint);
     effects.changes.push_back(
-        {CaseChangeKind::kSuspected, fingerprint, found.service, found.crashes.size()});
-    Judge(fingerprint, found, now, effects);
+        {CaseChangeKind::kSuspected, fingerprint, tracked.service, tracked.crashes.size()});
+    EvaluateCase(fingerprint, tracked, now, effects);
   }
 }
 
-void CrashTracker::Take(const ServerAnswered& event, Time, Effects&) {
-  const auto waiting = ended_links_.find(event.server_id);
-  if (waiting == ended_links_.end()) return;
-  ended_link_count_ -= std::erase_if(
-      waiting->second, [&](const EndedLink& ended) { return ended.at < event.sent_at; });
-  if (waiting->second.empty()) ended_links_.erase(waiting);
+void CrashTracker::Handle(const ServerAnswered& event, Time, Effects&) {
+  const auto unconfirmed = unconfirmed_links_.find(event.server_id);
+  if (unconfirmed == unconfirmed_links_.end()) return;
+  unconfirmed_link_count_ -= std::erase_if(
+      unconfirmed->second, [&](const UnconfirmedLink& ended) { return ended.at < event.sent_at; });
+  if (unconfirmed->second.empty()) unconfirmed_links_.erase(unconfirmed);
 }
 
-void CrashTracker::Take(const Served& event, Time now, Effects& effects) {
+void CrashTracker::Handle(const Served& event, Time now, Effects& effects) {
   if (settings_.servers == 0) return;
-  RememberServed(event.fingerprint, now);
-  const auto known = cases_.find(event.fingerprint);
-  if (known == cases_.end() || CrashesOf(known->second, event.version) == 0) return;
-  Case& found = known->second;
-  AddClearance(event.fingerprint, found, {event.version, now});
-  UpdateDigest(event.fingerprint, found);
-  effects.news.push_back(event.fingerprint);
-  effects.changes.push_back({CaseChangeKind::kCleared, event.fingerprint, found.service, 0});
+  RecordSuccess(event.fingerprint, now);
+  const auto existing = cases_.find(event.fingerprint);
+  if (existing == cases_.end() || CrashCount(existing->second, event.version) == 0) return;
+  Case& tracked = existing->second;
+  AddClearance(event.fingerprint, tracked, {event.version, now});
+  UpdateDigest(event.fingerprint, tracked);
+  effects.updated_cases.push_back(event.fingerprint);
+  effects.changes.push_back({CaseChangeKind::kCleared, event.fingerprint, tracked.service, 0});
 }
 
-void CrashTracker::Take(const Released& event, Time now, Effects& effects) {
-  const auto known = cases_.find(event.fingerprint);
-  if (known == cases_.end()) return;
-  Case& found = known->second;
-  const std::size_t servers = found.crashes.size();
-  AddClearance(event.fingerprint, found, {"", now});
-  UpdateDigest(event.fingerprint, found);
-  effects.news.push_back(event.fingerprint);
-  effects.changes.push_back({CaseChangeKind::kReleased, event.fingerprint, found.service, servers});
+void CrashTracker::Handle(const Released& event, Time now, Effects& effects) {
+  const auto existing = cases_.find(event.fingerprint);
+  if (existing == cases_.end()) return;
+  Case& tracked = existing->second;
+  const std::size_t servers = tracked.crashes.size();
+  AddClearance(event.fingerprint, tracked, {"", now});
+  UpdateDigest(event.fingerprint, tracked);
+  effects.updated_cases.push_back(event.fingerprint);
+  effects.changes.push_back(
+      {CaseChangeKind::kReleased, event.fingerprint, tracked.service, servers});
 }
 
-void CrashTracker::Take(const CasesReceived& event, Time now, Effects& effects) {
+void CrashTracker::Handle(const CasesReceived& event, Time now, Effects& effects) {
   if (settings_.servers == 0) return;
-  for (const CaseUpdate& news : event.cases) {
-    if (!Plausible(news)) {
+  for (const CaseUpdate& update : event.cases) {
+    if (!IsValid(update)) {
       ++effects.dropped;
       continue;
     }
-    const auto last_age = [&] {
+    const auto newest_age = [&] {
       std::int64_t age = settings_.retention.count();
-      for (const CrashReport& crash : news.crashes) age = std::min(age, crash.age_ms);
-      for (const ClearanceReport& clearance : news.clearances)
+      for (const CrashReport& crash : update.crashes) age = std::min(age, crash.age_ms);
+      for (const ClearanceReport& clearance : update.clearances)
         age = std::min(age, clearance.age_ms);
       return age;
     };
-    if (last_age() >= settings_.retention.count()) continue;
-    Case* found = FindOrMake(news.fingerprint, news.service);
-    if (found == nullptr) {
+    if (newest_age() >= settings_.retention.count()) continue;
+    Case* tracked = FindOrCreateCase(update.fingerprint, update.service);
+    if (tracked == nullptr) {
       ++effects.dropped;
       continue;
     }
-    if (!Merge(*found, news, now)) continue;
-    effects.news.push_back(news.fingerprint);
-    for (const std::string& version : news.quarantined_versions)
-      if (CrashesOf(*found, version) > 0) Quarantine(news.fingerprint, *found, version, effects);
-    Judge(news.fingerprint, *found, now, effects);
+    if (!MergeUpdate(*tracked, update, now)) continue;
+    effects.updated_cases.push_back(update.fingerprint);
+    for (const std::string& version : update.quarantined_versions)
+      if (CrashCount(*tracked, version) > 0)
+        Quarantine(update.fingerprint, *tracked, version, effects);
+    EvaluateCase(update.fingerprint, *tracked, now, effects);
   }
 }
 
-void CrashTracker::Take(const Tick&, Time now, Effects& effects) {
-  for (auto waiting = ended_links_.begin(); waiting != ended_links_.end();) {
-    ended_link_count_ -= std::erase_if(waiting->second, [&](const EndedLink& ended) {
-      return now - ended.at > settings_.confirmation_timeout;
-    });
-    waiting = waiting->second.empty() ? ended_links_.erase(waiting) : std::next(waiting);
+void CrashTracker::Handle(const Tick&, Time now, Effects& effects) {
+  for (auto unconfirmed = unconfirmed_links_.begin(); unconfirmed != unconfirmed_links_.end();) {
+    unconfirmed_link_count_ -=
+        std::erase_if(unconfirmed->second, [&](const UnconfirmedLink& ended) {
+          return now - ended.at > settings_.confirmation_timeout;
+        });
+    unconfirmed = unconfirmed->second.empty() ? unconfirmed_links_.erase(unconfirmed)
+                                              : std::next(unconfirmed);
   }
   std::vector<Fingerprint> old;
-  for (auto& [fingerprint, found] : cases_) {
+  for (auto& [fingerprint, tracked] : cases_) {
     Time last{};
-    for (const Crash& crash : found.crashes) last = std::max(last, crash.at);
-    for (const Clearance& clearance : found.clearances) last = std::max(last, clearance.at);
+    for (const Crash& crash : tracked.crashes) last = std::max(last, crash.at);
+    for (const Clearance& clearance : tracked.clearances) last = std::max(last, clearance.at);
     if (now - last >= settings_.retention)
       old.push_back(fingerprint);
     else
-      Judge(fingerprint, found, now, effects);
+      EvaluateCase(fingerprint, tracked, now, effects);
   }
-  for (const Fingerprint& fingerprint : old) Forget(fingerprint, effects);
+  for (const Fingerprint& fingerprint : old) RemoveCase(fingerprint, effects);
 }
 
 QuarantineState CrashTracker::StateFor(const Fingerprint& fingerprint, std::string_view version,
                                        Time now) const {
-  const auto known = cases_.find(fingerprint);
-  if (known == cases_.end()) return QuarantineState::kClear;
-  const Case& found = known->second;
-  if (Contains(found.quarantined_versions, version)) return QuarantineState::kQuarantined;
-  const std::size_t crashes = CrashesOf(found, version);
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return QuarantineState::kClear;
+  const Case& tracked = existing->second;
+  if (Contains(tracked.quarantined_versions, version)) return QuarantineState::kQuarantined;
+  const std::size_t crashes = CrashCount(tracked, version);
   if (crashes == 0)
-    return found.quarantined_versions.empty() ? QuarantineState::kClear : QuarantineState::kSuspect;
-  const bool may_be_judged = crashes >= kLeastToCompare && crashes + 1 >= settings_.servers;
-  if (may_be_judged && now - found.heard_at < settings_.propagation_time)
+    return tracked.quarantined_versions.empty() ? QuarantineState::kClear
+                                                : QuarantineState::kSuspect;
+  const bool near_threshold = crashes >= kMinCrashesToCompare && crashes + 1 >= settings_.servers;
+  if (near_threshold && now - tracked.last_crash_learned_at < settings_.propagation_time)
     return QuarantineState::kUndecided;
   return QuarantineState::kSuspect;
 }
 
-void CrashTracker::Judge(const Fingerprint& fingerprint, Case& found, Time now, Effects& effects) {
-  UpdateDigest(fingerprint, found);
+void CrashTracker::EvaluateCase(const Fingerprint& fingerprint, Case& tracked, Time now,
+                                Effects& effects) {
+  UpdateDigest(fingerprint, tracked);
   if (settings_.servers == 0) return;
   std::vector<std::string> versions;
-  for (const Crash& crash : found.crashes)
+  for (const Crash& crash : tracked.crashes)
     if (!Contains(versions, crash.version)) versions.push_back(crash.version);
   for (const std::string& version : versions) {
-    if (Contains(found.quarantined_versions, version)) continue;
-    const std::size_t crashes = CrashesOf(found, version);
-    const bool known_elsewhere = !found.quarantined_versions.empty();
-    const bool settled = now - found.heard_at >= settings_.propagation_time;
-    const bool stands_out = crashes >= kLeastToCompare && crashes + 1 >= settings_.servers &&
-                            settled && AloneAtTop(fingerprint, found, version);
-    if (known_elsewhere || crashes >= settings_.servers || stands_out)
-      Quarantine(fingerprint, found, version, effects);
+    if (Contains(tracked.quarantined_versions, version)) continue;
+    const std::size_t crashes = CrashCount(tracked, version);
+    const bool quarantined_for_other_version = !tracked.quarantined_versions.empty();
+    const bool evidence_propagated =
+        now - tracked.last_crash_learned_at >= settings_.propagation_time;
+    const bool has_most_crashes = crashes >= kMinCrashesToCompare &&
+                                  crashes + 1 >= settings_.servers && evidence_propagated &&
+                                  HasMoreCrashesThanNeighbors(fingerprint, tracked, version);
+    if (quarantined_for_other_version || crashes >= settings_.servers || has_most_crashes)
+      Quarantine(fingerprint, tracked, version, effects);
   }
 }
 
-void CrashTracker::Quarantine(const Fingerprint& fingerprint, Case& found,
+void CrashTracker::Quarantine(const Fingerprint& fingerprint, Case& tracked,
                               const std::string& version, Effects& effects) {
-  const bool full = found.quarantined_versions.size() >= kMostVersions;
-  if (full || Contains(found.quarantined_versions, version)) return;
-  if (found.quarantined_versions.empty()) ++quarantined_;
-  found.quarantined_versions.push_back(version);
-  UpdateDigest(fingerprint, found);
-  if (effects.news.empty() || effects.news.back() != fingerprint)
-    effects.news.push_back(fingerprint);
+  const bool full = tracked.quarantined_versions.size() >= kMaxVersionsPerCase;
+  if (full || Contains(tracked.quarantined_versions, version)) return;
+  if (tracked.quarantined_versions.empty()) ++quarantined_;
+  tracked.quarantined_versions.push_back(version);
+  UpdateDigest(fingerprint, tracked);
+  if (effects.updated_cases.empty() || effects.updated_cases.back() != fingerprint)
+    effects.updated_cases.push_back(fingerprint);
   effects.changes.push_back(
-      {CaseChangeKind::kQuarantined, fingerprint, found.service, found.crashes.size()});
+      {CaseChangeKind::kQuarantined, fingerprint, tracked.service, tracked.crashes.size()});
 }
 
-bool CrashTracker::AloneAtTop(const Fingerprint& fingerprint, const Case& found,
-                              const std::string& version) const {
-  const std::size_t own = CrashesOf(found, version);
-  for (const Crash& crash : found.crashes) {
-    const auto beside = by_server_.find(crash.server_id);
-    if (crash.version != version || beside == by_server_.end()) continue;
-    for (const Fingerprint& other : beside->second) {
-      const auto known = cases_.find(other);
-      if (other == fingerprint || known == cases_.end()) continue;
-      // Another's guilt explains the crash; a doubt is left while it has as many on its account.
-      const bool quarantined = Contains(known->second.quarantined_versions, version);
-      if (quarantined || CrashesOf(known->second, version) >= own) return false;
+bool CrashTracker::HasMoreCrashesThanNeighbors(const Fingerprint& fingerprint, const Case& tracked,
+                                               const std::string& version) const {
+  const std::size_t own_crashes = CrashCount(tracked, version);
+  for (const Crash& crash : tracked.crashes) {
+    const auto neighbors = cases_by_server_.find(crash.server_id);
+    if (crash.version != version || neighbors == cases_by_server_.end()) continue;
+    for (const Fingerprint& other : neighbors->second) {
+      const auto existing = cases_.find(other);
+      if (other == fingerprint || existing == cases_.end()) continue;
+      // A neighbor that is quarantined explains the crash; a neighbor with as many crashes leaves
+      // the cause undecided.
+      const bool quarantined = Contains(existing->second.quarantined_versions, version);
+      if (quarantined || CrashCount(existing->second, version) >= own_crashes) return false;
     }
   }
   return true;
 }
 
-bool CrashTracker::AddCrash(const Fingerprint& fingerprint, Case& found, Crash crash, Time now) {
-  for (const Clearance& clearance : found.clearances)
+bool CrashTracker::AddCrash(const Fingerprint& fingerprint, Case& tracked, Crash crash, Time now) {
+  for (const Clearance& clearance : tracked.clearances)
     if ((clearance.version.empty() || clearance.version == crash.version) &&
         clearance.at >= crash.at)
       return false;
-  for (Crash& known : found.crashes) {
-    if (known.server_id != crash.server_id) continue;
-    known.at = std::min(known.at, crash.at);
+  for (Crash& existing : tracked.crashes) {
+    if (existing.server_id != crash.server_id) continue;
+    existing.at = std::min(existing.at, crash.at);
     return false;
   }
-  if (found.crashes.size() >= kMostCrashes) return false;
-  by_server_[crash.server_id].push_back(fingerprint);
-  found.crashes.push_back(std::move(crash));
-  found.heard_at = now;
+  if (tracked.crashes.size() >= kMaxCrashesPerCase) return false;
+  cases_by_server_[crash.server_id].push_back(fingerprint);
+  tracked.crashes.push_back(std::move(crash));
+  tracked.last_crash_learned_at = now;
   return true;
 }
 
-bool CrashTracker::AddClearance(const Fingerprint& fingerprint, Case& found,
+bool CrashTracker::AddClearance(const Fingerprint& fingerprint, Case& tracked,
                                 const Clearance& clearance) {
-  const auto same = [&](const Clearance& known) { return known.version == clearance.version; };
-  const auto known = std::find_if(found.clearances.begin(), found.clearances.end(), same);
-  // What a message took to arrive makes the same clearance look newer.
-  constexpr Milliseconds kSameWithin{1'000};
-  const bool new_version = known == found.clearances.end();
-  if (!new_version && clearance.at <= known->at + kSameWithin) return false;
+  const auto same_version = [&](const Clearance& existing) {
+    return existing.version == clearance.version;
+  };
+  const auto existing =
+      std::find_if(tracked.clearances.begin(), tracked.clearances.end(), same_version);
+  // The transit time of a message makes the same clearance look newer.
+  constexpr Milliseconds kTransitTolerance{1'000};
+  const bool new_version = existing == tracked.clearances.end();
+  if (!new_version && clearance.at <= existing->at + kTransitTolerance) return false;
   if (!new_version)
-    known->at = clearance.at;
-  else if (found.clearances.size() < kMostVersions)
-    found.clearances.push_back(clearance);
-  DropCleared(fingerprint, found, clearance);
+    existing->at = clearance.at;
+  else if (tracked.clearances.size() < kMaxVersionsPerCase)
+    tracked.clearances.push_back(clearance);
+  RemoveClearedEvidence(fingerprint, tracked, clearance);
   return true;
 }
 
-void CrashTracker::DropCleared(const Fingerprint& fingerprint, Case& found,
-                               const Clearance& clearance) {
-  const auto covered = [&](const std::string& version) {
+void CrashTracker::RemoveClearedEvidence(const Fingerprint& fingerprint, Case& tracked,
+                                         const Clearance& clearance) {
+  const auto covers = [&](const std::string& version) {
     return clearance.version.empty() || clearance.version == version;
   };
-  std::erase_if(found.crashes, [&](const Crash& crash) {
-    const bool cleared = covered(crash.version) && crash.at <= clearance.at;
-    if (cleared) RemoveFromServer(fingerprint, crash.server_id);
+  std::erase_if(tracked.crashes, [&](const Crash& crash) {
+    const bool cleared = covers(crash.version) && crash.at <= clearance.at;
+    if (cleared) RemoveFromServerIndex(fingerprint, crash.server_id);
     return cleared;
   });
-  const bool was_quarantined = !found.quarantined_versions.empty();
-  std::erase_if(found.quarantined_versions, [&](const std::string& version) {
-    return covered(version) && CrashesOf(found, version) == 0;
+  const bool was_quarantined = !tracked.quarantined_versions.empty();
+  std::erase_if(tracked.quarantined_versions, [&](const std::string& version) {
+    return covers(version) && CrashCount(tracked, version) == 0;
   });
-  if (was_quarantined && found.quarantined_versions.empty()) --quarantined_;
+  if (was_quarantined && tracked.quarantined_versions.empty()) --quarantined_;
 }
 
-bool CrashTracker::Merge(Case& found, const CaseUpdate& news, Time now) {
+bool CrashTracker::MergeUpdate(Case& tracked, const CaseUpdate& update, Time now) {
   bool changed = false;
-  for (const ClearanceReport& each : news.clearances) {
+  for (const ClearanceReport& each : update.clearances) {
     const Clearance clearance{each.version, now - Milliseconds(each.age_ms)};
-    changed = AddClearance(news.fingerprint, found, clearance) || changed;
+    changed = AddClearance(update.fingerprint, tracked, clearance) || changed;
   }
-  for (const CrashReport& each : news.crashes) {
+  for (const CrashReport& each : update.crashes) {
     if (each.age_ms >= settings_.retention.count()) continue;
     const Crash crash{each.server_id, each.version, now - Milliseconds(each.age_ms)};
-    changed = AddCrash(news.fingerprint, found, crash, now) || changed;
+    changed = AddCrash(update.fingerprint, tracked, crash, now) || changed;
   }
-  for (const std::string& version : news.quarantined_versions) {
-    const bool counts = CrashesOf(found, version) > 0;
-    changed = changed || (counts && !Contains(found.quarantined_versions, version));
+  for (const std::string& version : update.quarantined_versions) {
+    const bool counts = CrashCount(tracked, version) > 0;
+    changed = changed || (counts && !Contains(tracked.quarantined_versions, version));
   }
   return changed;
 }
 
-bool CrashTracker::Plausible(const CaseUpdate& news) {
-  if (news.service.empty() || !ShortName(news.service)) return false;
-  if (news.crashes.size() > kMostCrashes || news.clearances.size() > kMostVersions ||
-      news.quarantined_versions.size() > kMostVersions)
+bool CrashTracker::IsValid(const CaseUpdate& update) {
+  if (update.service.empty() || !HasValidLength(update.service)) return false;
+  if (update.crashes.size() > kMaxCrashesPerCase ||
+      update.clearances.size() > kMaxVersionsPerCase ||
+      update.quarantined_versions.size() > kMaxVersionsPerCase)
     return false;
-  const auto sound = [](const CrashReport& crash) {
-    return !crash.server_id.empty() && ShortName(crash.server_id) && ShortName(crash.version) &&
-           crash.age_ms >= 0;
+  const auto valid_crash = [](const CrashReport& crash) {
+    return !crash.server_id.empty() && HasValidLength(crash.server_id) &&
+           HasValidLength(crash.version) && crash.age_ms >= 0;
   };
-  const auto past = [](const ClearanceReport& clearance) {
-    return clearance.age_ms >= 0 && ShortName(clearance.version);
+  const auto valid_clearance = [](const ClearanceReport& clearance) {
+    return clearance.age_ms >= 0 && HasValidLength(clearance.version);
   };
-  return std::all_of(news.crashes.begin(), news.crashes.end(), sound) &&
-         std::all_of(news.clearances.begin(), news.clearances.end(), past) &&
-         std::all_of(news.quarantined_versions.begin(), news.quarantined_versions.end(), ShortName);
+  return std::all_of(update.crashes.begin(), update.crashes.end(), valid_crash) &&
+         std::all_of(update.clearances.begin(), update.clearances.end(), valid_clearance) &&
+         std::all_of(update.quarantined_versions.begin(), update.quarantined_versions.end(),
+                     HasValidLength);
 }
 
-CrashTracker::Case* CrashTracker::FindOrMake(const Fingerprint& fingerprint,
-                                             const std::string& service) {
-  const auto known = cases_.find(fingerprint);
-  if (known != cases_.end()) return &known->second;
-  if (cases_.size() >= settings_.max_cases && !MakeRoom()) return nullptr;
-  Case& made = cases_[fingerprint];
-  made.service = service;
-  return &made;
+CrashTracker::Case* CrashTracker::FindOrCreateCase(const Fingerprint& fingerprint,
+                                                   const std::string& service) {
+  const auto existing = cases_.find(fingerprint);
+  if (existing != cases_.end()) return &existing->second;
+  if (cases_.size() >= settings_.max_cases && !EvictOldestCase()) return nullptr;
+  Case& created = cases_[fingerprint];
+  created.service = service;
+  return &created;
 }
 
-/// Of some cases, the oldest that is not quarantined goes: looking at all of them for each would
-/// let whoever sends many such requests take the processor. @return whether one went.
-bool CrashTracker::MakeRoom() {
-  constexpr std::size_t kLookedAt = 64;
+/// Evicts the oldest case among a few candidates that is not quarantined. Examining every case
+/// would let a client that sends many crashing requests exhaust the CPU. @return whether a case was
+/// evicted.
+bool CrashTracker::EvictOldestCase() {
+  constexpr std::size_t kMaxExamined = 64;
   const Fingerprint* oldest = nullptr;
   Time oldest_at = Time::max();
-  std::size_t looked_at = 0;
-  for (const auto& [fingerprint, found] : cases_) {
-    if (++looked_at > kLookedAt) break;
-    if (!found.quarantined_versions.empty() || found.heard_at >= oldest_at) continue;
+  std::size_t examined = 0;
+  for (const auto& [fingerprint, tracked] : cases_) {
+    if (++examined > kMaxExamined) break;
+    if (!tracked.quarantined_versions.empty() || tracked.last_crash_learned_at >= oldest_at)
+      continue;
     oldest = &fingerprint;
-    oldest_at = found.heard_at;
+    oldest_at = tracked.last_crash_learned_at;
   }
   if (oldest == nullptr) return false;
-  Effects nobody_hears;
-  Forget(Fingerprint(*oldest), nobody_hears);
+  Effects ignored;
+  RemoveCase(Fingerprint(*oldest), ignored);
   return true;
 }
 
-void CrashTracker::Forget(const Fingerprint& fingerprint, Effects& effects) {
-  const auto known = cases_.find(fingerprint);
-  if (known == cases_.end()) return;
-  Case& found = known->second;
-  for (const Crash& crash : found.crashes) RemoveFromServer(fingerprint, crash.server_id);
-  if (!found.quarantined_versions.empty()) {
+void CrashTracker::RemoveCase(const Fingerprint& fingerprint, Effects& effects) {
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return;
+  Case& tracked = existing->second;
+  for (const Crash& crash : tracked.crashes) RemoveFromServerIndex(fingerprint, crash.server_id);
+  if (!tracked.quarantined_versions.empty()) {
     --quarantined_;
     effects.changes.push_back(
-        {CaseChangeKind::kForgotten, fingerprint, found.service, found.crashes.size()});
+        {CaseChangeKind::kForgotten, fingerprint, tracked.service, tracked.crashes.size()});
   }
-  digest_ ^= found.digest_part;
-  cases_.erase(known);
+  digest_ ^= tracked.digest_part;
+  cases_.erase(existing);
 }
 
-void CrashTracker::RemoveFromServer(const Fingerprint& fingerprint, const std::string& server_id) {
-  const auto beside = by_server_.find(server_id);
-  if (beside == by_server_.end()) return;
-  std::erase(beside->second, fingerprint);
-  if (beside->second.empty()) by_server_.erase(beside);
+void CrashTracker::RemoveFromServerIndex(const Fingerprint& fingerprint,
+                                         const std::string& server_id) {
+  const auto neighbors = cases_by_server_.find(server_id);
+  if (neighbors == cases_by_server_.end()) return;
+  std::erase(neighbors->second, fingerprint);
+  if (neighbors->second.empty()) cases_by_server_.erase(neighbors);
 }
 
-void CrashTracker::UpdateDigest(const Fingerprint& fingerprint, Case& found) {
-  digest_ ^= found.digest_part;
-  found.digest_part = 0;
-  const bool weighty = !found.quarantined_versions.empty() ||
-                       found.crashes.size() >= kLeastToCompare || !found.clearances.empty();
-  if (!weighty) return;
+void CrashTracker::UpdateDigest(const Fingerprint& fingerprint, Case& tracked) {
+  digest_ ^= tracked.digest_part;
+  tracked.digest_part = 0;
+  const bool in_digest = !tracked.quarantined_versions.empty() ||
+                         tracked.crashes.size() >= kMinCrashesToCompare ||
+                         !tracked.clearances.empty();
+  if (!in_digest) return;
   std::vector<std::string> parts;
-  for (const Crash& crash : found.crashes) parts.push_back("c" + crash.server_id);
-  for (const std::string& version : found.quarantined_versions) parts.push_back("q" + version);
-  for (const Clearance& clearance : found.clearances) parts.push_back("l" + clearance.version);
+  for (const Crash& crash : tracked.crashes) parts.push_back("c" + crash.server_id);
+  for (const std::string& version : tracked.quarantined_versions) parts.push_back("q" + version);
+  for (const Clearance& clearance : tracked.clearances) parts.push_back("l" + clearance.version);
   std::sort(parts.begin(), parts.end());
   std::string text(reinterpret_cast<const char*>(fingerprint.bytes.data()),
                    fingerprint.bytes.size());
   for (const std::string& part : parts) text += part + '\n';
-  found.digest_part = XXH64(text.data(), text.size(), 0);
-  digest_ ^= found.digest_part;
+  tracked.digest_part = XXH64(text.data(), text.size(), 0);
+  digest_ ^= tracked.digest_part;
 }
 
-bool CrashTracker::ServedLately(const Fingerprint& fingerprint, Time now) const {
-  const auto served = served_.find(fingerprint);
-  return served != served_.end() && now - served->second < settings_.recent_success_window;
+bool CrashTracker::SucceededRecently(const Fingerprint& fingerprint, Time now) const {
+  const auto success = recent_successes_.find(fingerprint);
+  return success != recent_successes_.end() &&
+         now - success->second < settings_.recent_success_window;
 }
 
-void CrashTracker::RememberServed(const Fingerprint& fingerprint, Time now) {
-  const bool known = !served_.insert_or_assign(fingerprint, now).second;
-  if (known) return;
-  served_order_.push_back(fingerprint);
-  if (served_order_.size() <= kMostServed) return;
-  served_.erase(served_order_.front());
-  served_order_.pop_front();
+void CrashTracker::RecordSuccess(const Fingerprint& fingerprint, Time now) {
+  const bool existing = !recent_successes_.insert_or_assign(fingerprint, now).second;
+  if (existing) return;
+  recent_success_order_.push_back(fingerprint);
+  if (recent_success_order_.size() <= kMaxRecentSuccesses) return;
+  recent_successes_.erase(recent_success_order_.front());
+  recent_success_order_.pop_front();
 }
 
 CaseUpdate CrashTracker::ExportCase(const Fingerprint& fingerprint, Time now) const {
-  CaseUpdate news;
-  news.fingerprint = fingerprint;
-  const auto known = cases_.find(fingerprint);
-  if (known == cases_.end()) return news;
-  const Case& found = known->second;
-  news.service = found.service;
-  for (const Crash& crash : found.crashes)
-    news.crashes.push_back({crash.server_id, crash.version, AgeMs(crash.at, now)});
-  for (const Clearance& clearance : found.clearances)
-    news.clearances.push_back({clearance.version, AgeMs(clearance.at, now)});
-  news.quarantined_versions = found.quarantined_versions;
-  return news;
+  CaseUpdate update;
+  update.fingerprint = fingerprint;
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return update;
+  const Case& tracked = existing->second;
+  update.service = tracked.service;
+  for (const Crash& crash : tracked.crashes)
+    update.crashes.push_back({crash.server_id, crash.version, AgeMs(crash.at, now)});
+  for (const Clearance& clearance : tracked.clearances)
+    update.clearances.push_back({clearance.version, AgeMs(clearance.at, now)});
+  update.quarantined_versions = tracked.quarantined_versions;
+  return update;
 }
 
 std::vector<ListedCase> CrashTracker::List(Time now) const {
   std::vector<ListedCase> listed;
-  for (const auto& [fingerprint, found] : cases_) {
-    if (found.quarantined_versions.empty()) continue;
+  for (const auto& [fingerprint, tracked] : cases_) {
+    if (tracked.quarantined_versions.empty()) continue;
     Time last{};
-    for (const Crash& crash : found.crashes) last = std::max(last, crash.at);
-    const auto left = std::chrono::duration_cast<Milliseconds>(last + settings_.retention - now);
-    listed.push_back({fingerprint, found.service, found.crashes.size(), found.quarantined_versions,
-                      std::max(Milliseconds(0), left)});
+    for (const Crash& crash : tracked.crashes) last = std::max(last, crash.at);
+    const auto time_left =
+        std::chrono::duration_cast<Milliseconds>(last + settings_.retention - now);
+    listed.push_back({fingerprint, tracked.service, tracked.crashes.size(),
+                      tracked.quarantined_versions, std::max(Milliseconds(0), time_left)});
   }
-  std::sort(listed.begin(), listed.end(), [](const ListedCase& left, const ListedCase& right) {
-    return left.left != right.left ? left.left > right.left : left.fingerprint < right.fingerprint;
+  std::sort(listed.begin(), listed.end(), [](const ListedCase& a, const ListedCase& b) {
+    return a.time_left != b.time_left ? a.time_left > b.time_left : a.fingerprint < b.fingerprint;
   });
   return listed;
 }
@@ -422,8 +444,8 @@
 std::vector<Fingerprint> CrashTracker::NextCasesToSync(std::size_t most,
                                                        std::size_t& cursor) const {
   std::vector<Fingerprint> all;
-  for (const auto& [fingerprint, found] : cases_)
-    if (found.digest_part != 0) all.push_back(fingerprint);
+  for (const auto& [fingerprint, tracked] : cases_)
+    if (tracked.digest_part != 0) all.push_back(fingerprint);
   std::sort(all.begin(), all.end());
   std::vector<Fingerprint> some;
   for (std::size_t taken = 0; taken < std::min(most, all.size()); ++taken)
--- a/src/quarantine/crash_tracker.h
+++ b/src/quarantine/crash_tracker.h
@@ -15,93 +15,99 @@
 
 namespace moorfold {
 
-/// Decides which requests servers end under (the field's name: query of death).
+/// Detects requests that crash the servers processing them ("queries of death").
 ///
-/// Such a request comes again at any daemon, under another id each time, and takes one server after
-/// the other. The book holds a case for each request that was running on a server when that server
-/// ended, until its innocence is shown or the case is old.
+/// Clients retry such a request through any daemon, each time with a new request ID, so it can
+/// crash one server after another. The tracker keeps a case for each request that was running on a
+/// server when that server crashed. A case is removed when it expires.
 ///
-/// Evidence. A link that the server's side ended is not yet a crash: links are cut and reset too.
-/// It waits until the server is shown to have ended (nobody listens at its address any more, or
-/// another incarnation does); an answer to a request that was sent later shows that it has not.
+/// Evidence. A connection closed by the server does not yet prove a crash, because connections are
+/// also cut and reset. The closed connection is held as unconfirmed evidence until the server is
+/// shown to have ended: nothing listens at its address any more, or another incarnation of the
+/// server does. A response to a request that was sent after the connection closed shows that the
+/// server is still running and discards the evidence.
 ///
-/// Verdict. All requests on a server that ended look alike; one of them is the cause. A case is
-/// quarantined once `servers` servers have ended under it. One less is enough when every other
-/// request that shared one of those servers has fewer on its account; daemons hear of those within
-/// `settle`, and until then the case is undecided. A whole answer of a server clears the request
-/// for that version of the software, at once and everywhere; a request that was answered a moment
-/// before is not suspected at all. So a caller who asks the same thing over and over is not blamed
-/// for its neighbours.
+/// Decision. Any of the requests running on a crashed server may be the cause. A request is
+/// quarantined once `servers` servers have crashed under it. One crash fewer is enough when every
+/// other request that shared one of those servers has fewer crashes of its own. Daemons learn of
+/// those other requests within `propagation_time`; until then the state is kUndecided. A complete
+/// response clears the request for that software version, at once and on all daemons. A request
+/// that received a complete response within `recent_success_window` is not suspected at all, so a
+/// client that polls with the same request is not blamed for a crash caused by another request on
+/// that server.
 ///
-/// Agreement. What daemons tell each other of a case is merged in any order and any number of times
-/// with the same result: crashes are joined by server, the newest clearance of a version counts.
+/// Consistency. Updates from other daemons merge with the same result in any order and any number
+/// of times: crashes are merged by server, and the newest clearance of each version counts.
 ///
-/// End. A case is forgotten `life` after its last crash. Verdicts hold for one version of the
-/// servers' software; on the next version a single crash is enough.
+/// Expiry. A case is removed `retention` after its last crash or clearance. Decisions hold for one
+/// version of the servers' software; after a quarantine, a single crash on another version
+/// quarantines the request for that version too.
 ///
-/// Bounds. `max_cases` in all, the oldest harmless ones go first; a few crashes and clearances a
-/// case. State changes by Reduce alone, which asks no clock and sends nothing: what is to be done
-/// is in its effects. One thread.
+/// Bounds. At most `max_cases` cases are kept; the oldest cases that are not quarantined are
+/// evicted first. Each case keeps a small number of crashes and clearances.
+///
+/// State changes only through Reduce, which reads no clock and performs no I/O; the actions to take
+/// are returned in Effects. Not thread-safe.
 namespace quarantine {
 
 using Time = BootClock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
 struct Settings {
-  /// Servers that may end under one request; 0: nothing is ever quarantined. The platform bounds it
-  /// by three.
+  /// Number of servers that may crash under one request before it is quarantined; 0 disables
+  /// quarantine. The platform requires at most three.
   std::uint32_t servers = 3;
-  /// How long a request stays out after the last server that ended under it.
+  /// How long a request stays quarantined after its last crash.
   Milliseconds retention{600'000};
-  /// Within that time what others saw of the same crash is known here, in ordinary times: reports
-  /// are sent at once, and a datagram takes milliseconds.
+  /// Time within which crash reports of other daemons normally arrive: reports are sent at once and
+  /// a datagram takes milliseconds.
   Milliseconds propagation_time{300};
-  /// An ended link waits so long for a sign of its server's end.
+  /// How long a closed connection is kept while it is unknown whether its server has crashed.
   Milliseconds confirmation_timeout{5'000};
-  /// A request that was answered whole so lately is not suspected.
+  /// A request that received a complete response within this time is not suspected.
   Milliseconds recent_success_window{10'000};
-  /// The longest that a case and what hangs on it take: about 400 bytes, so 4 MB at most.
+  /// Maximum number of cases. A case and its index entries take about 400 bytes, so 4 MB in total.
   std::size_t max_cases = 10'000;
 };
 
-/// How a request stands with servers of one version.
+/// State of a request for servers of one software version.
 enum class QuarantineState : std::uint8_t {
-  kClear,       ///< Nothing is known against it.
-  kSuspect,     ///< A server ended under it; so did others beside it.
-  kUndecided,   ///< More evidence may be on its way.
-  kQuarantined  ///< Servers end under it: it is not to be sent.
+  kClear,    ///< No evidence against the request.
+  kSuspect,  ///< A server crashed while running it; other requests on that server may be the cause.
+  kUndecided,   ///< Near the threshold; evidence from other daemons may still arrive.
+  kQuarantined  ///< Servers crash under it; the request is refused.
 };
 
-/// A link of a request was ended by the server's side, before the answer was whole.
+/// The server closed the connection before the response to a request was complete.
 struct LinkEnded {
   Fingerprint fingerprint;
   std::string service;
   std::string server_id;
   std::string version;
 };
-/// A server has ended: nobody listens at its address, or another incarnation does.
+/// A server has ended: nothing listens at its address, or another incarnation does.
 struct ServerEnded {
   std::string server_id;
 };
-/// A server has answered a request that was sent at that time.
+/// A server has responded to a request that was sent at `sent_at`.
 struct ServerAnswered {
   std::string server_id;
   Time sent_at{};
 };
-/// A server of that version has answered a request whole.
+/// A server of that version has completed the response to a request.
 struct Served {
   Fingerprint fingerprint;
   std::string version;
 };
-/// Another daemon, or the store, tells of cases.
+/// Cases received from another daemon or read from the store.
 struct CasesReceived {
   std::vector<CaseUpdate> cases;
 };
-/// The operator lets a request run again.
+/// The operator has released a request from quarantine.
 struct Released {
   Fingerprint fingerprint;
 };
-/// Time has passed.
+/// Periodic event: expires old evidence and cases, and reevaluates the remaining cases.
 struct Tick {};
 using Event =
     std::variant<LinkEnded, ServerEnded, ServerAnswered, Served, CasesReceived, Released, Tick>;
@@ -114,30 +120,30 @@
   kForgotten
 };
 
-/// A change that operators may want to read of.
+/// A change of a case that is logged for operators.
 struct CaseChange {
   CaseChangeKind kind = CaseChangeKind::kSuspected;
   Fingerprint fingerprint;
   std::string service;
-  std::size_t servers = 0;  ///< That ended under it.
+  std::size_t servers = 0;  ///< Servers that crashed while running the request.
 };
 
 struct Effects {
-  /// Cases of which this daemon has learnt something: others should hear of them.
-  std::vector<Fingerprint> news;
+  /// Cases with new evidence, to be sent to other daemons.
+  std::vector<Fingerprint> updated_cases;
   std::vector<std::string>
-      servers_to_probe;  ///< Servers of which it should be seen whether they live.
+      servers_to_probe;  ///< Servers that may have crashed and are to be probed.
   std::vector<CaseChange> changes;
-  std::size_t dropped = 0;  ///< Cases heard that cannot be, or for which there is no room.
+  std::size_t dropped = 0;  ///< Cases that were invalid or for which there was no room.
 };
 
-/// One row of the operator's list.
+/// One quarantined request in the list shown to the operator.
 struct ListedCase {
   Fingerprint fingerprint;
   std::string service;
   std::size_t servers = 0;
-  std::vector<std::string> versions;  ///< For which it is quarantined.
-  Milliseconds left{0};               ///< Until it is forgotten.
+  std::vector<std::string> versions;  ///< Versions for which the request is quarantined.
+  Milliseconds time_left{0};          ///< Time until the case expires.
 };
 
 class CrashTracker {
@@ -146,22 +152,25 @@
 
   Effects Reduce(const Event& event, Time now);
 
-  /// Nearly all requests: nothing but one look-up.
+  /// Costs one hash lookup; nearly all requests have no case.
   bool HasCase(const Fingerprint& fingerprint) const { return cases_.contains(fingerprint); }
   QuarantineState StateFor(const Fingerprint& fingerprint, std::string_view version,
                            Time now) const;
-  /// @return whether an ended link to the server still waits for a sign.
+  /// @return whether a connection that the server closed is not yet confirmed as a crash.
   bool AwaitsConfirmation(const std::string& server_id) const {
-    return ended_links_.contains(server_id);
+    return unconfirmed_links_.contains(server_id);
   }
-  /// @return what is known of a case, to be told to others.
+  /// @return the evidence of a case, to be sent to other daemons; without a service if there is no
+  /// such case.
   CaseUpdate ExportCase(const Fingerprint& fingerprint, Time now) const;
-  /// @return all cases that are quarantined for some version, the newest crash first.
+  /// @return all cases that are quarantined for some version, those that expire last first.
   std::vector<ListedCase> List(Time now) const;
-  /// @return equal numbers for equal sets of what is quarantined, suspected by two or more servers,
-  /// or cleared since: daemons whose numbers differ tell each other.
+  /// @return a digest over the cases that are quarantined, have crashes on two or more servers, or
+  /// hold a clearance. Equal sets of such cases give equal digests; daemons whose digests differ
+  /// exchange cases.
   std::uint64_t Digest() const { return digest_; }
-  /// @return up to `most` cases that count in the digest, going round with each call from `cursor`.
+  /// @return up to `most` cases that count in the digest. Each call continues round-robin from
+  /// `cursor`.
   std::vector<Fingerprint> NextCasesToSync(std::size_t most, std::size_t& cursor) const;
   std::size_t quarantined() const { return quarantined_; }
   std::size_t size() const { return cases_.size(); }
@@ -181,54 +190,56 @@
     std::vector<Crash> crashes;
     std::vector<Clearance> clearances;
     std::vector<std::string> quarantined_versions;
-    Time heard_at{};  ///< Of the newest crash, here.
+    Time last_crash_learned_at{};  ///< When this daemon learned of the newest crash.
     std::uint64_t digest_part = 0;
   };
-  struct EndedLink {
+  struct UnconfirmedLink {
     LinkEnded link;
     Time at{};
   };
   using CaseMap = std::unordered_map<Fingerprint, Case, FingerprintHash>;
 
-  void Take(const LinkEnded& event, Time now, Effects& effects);
-  void Take(const ServerEnded& event, Time now, Effects& effects);
-  void Take(const ServerAnswered& event, Time now, Effects& effects);
-  void Take(const Served& event, Time now, Effects& effects);
-  void Take(const CasesReceived& event, Time now, Effects& effects);
-  void Take(const Released& event, Time now, Effects& effects);
-  void Take(const Tick& event, Time now, Effects& effects);
-
-  /// @return whether the crash was not known and counts.
-  bool AddCrash(const Fingerprint& fingerprint, Case& found, Crash crash, Time now);
-  /// @return whether the clearance is newer than what was known.
-  bool AddClearance(const Fingerprint& fingerprint, Case& found, const Clearance& clearance);
-  /// Drops the crashes and verdicts that a clearance covers.
-  void DropCleared(const Fingerprint& fingerprint, Case& found, const Clearance& clearance);
-  /// Merges what was heard. @return whether anything was new.
-  bool Merge(Case& found, const CaseUpdate& news, Time now);
-  Case* FindOrMake(const Fingerprint& fingerprint, const std::string& service);
-  bool MakeRoom();
-  void Judge(const Fingerprint& fingerprint, Case& found, Time now, Effects& effects);
-  void Quarantine(const Fingerprint& fingerprint, Case& found, const std::string& version,
+  void Handle(const LinkEnded& event, Time now, Effects& effects);
+  void Handle(const ServerEnded& event, Time now, Effects& effects);
+  void Handle(const ServerAnswered& event, Time now, Effects& effects);
+  void Handle(const Served& event, Time now, Effects& effects);
+  void Handle(const CasesReceived& event, Time now, Effects& effects);
+  void Handle(const Released& event, Time now, Effects& effects);
+  void Handle(const Tick& event, Time now, Effects& effects);
+
+  /// @return whether the crash is new and no clearance covers it.
+  bool AddCrash(const Fingerprint& fingerprint, Case& tracked, Crash crash, Time now);
+  /// @return whether the clearance is newer than the one held for its version.
+  bool AddClearance(const Fingerprint& fingerprint, Case& tracked, const Clearance& clearance);
+  /// Removes the crashes and quarantined versions that a clearance covers.
+  void RemoveClearedEvidence(const Fingerprint& fingerprint, Case& tracked,
+                             const Clearance& clearance);
+  /// Merges a received case. @return whether anything changed.
+  bool MergeUpdate(Case& tracked, const CaseUpdate& update, Time now);
+  Case* FindOrCreateCase(const Fingerprint& fingerprint, const std::string& service);
+  bool EvictOldestCase();
+  void EvaluateCase(const Fingerprint& fingerprint, Case& tracked, Time now, Effects& effects);
+  void Quarantine(const Fingerprint& fingerprint, Case& tracked, const std::string& version,
                   Effects& effects);
-  bool AloneAtTop(const Fingerprint& fingerprint, const Case& found,
-                  const std::string& version) const;
-  void Forget(const Fingerprint& fingerprint, Effects& effects);
-  void UpdateDigest(const Fingerprint& fingerprint, Case& found);
-  void RemoveFromServer(const Fingerprint& fingerprint, const std::string& server_id);
-  bool ServedLately(const Fingerprint& fingerprint, Time now) const;
-  void RememberServed(const Fingerprint& fingerprint, Time now);
-  static std::size_t CrashesOf(const Case& found, std::string_view version);
-  static bool Plausible(const CaseUpdate& news);
+  bool HasMoreCrashesThanNeighbors(const Fingerprint& fingerprint, const Case& tracked,
+                                   const std::string& version) const;
+  void RemoveCase(const Fingerprint& fingerprint, Effects& effects);
+  void UpdateDigest(const Fingerprint& fingerprint, Case& tracked);
+  void RemoveFromServerIndex(const Fingerprint& fingerprint, const std::string& server_id);
+  bool SucceededRecently(const Fingerprint& fingerprint, Time now) const;
+  void RecordSuccess(const Fingerprint& fingerprint, Time now);
+  static std::size_t CrashCount(const Case& tracked, std::string_view version);
+  static bool IsValid(const CaseUpdate& update);
 
   Settings settings_;
   CaseMap cases_;
-  std::unordered_map<std::string, std::vector<EndedLink>> ended_links_;  ///< By server.
-  std::size_t ended_link_count_ = 0;
-  /// Who was on each server that ended, among the cases.
-  std::unordered_map<std::string, std::vector<Fingerprint>> by_server_;
-  std::unordered_map<Fingerprint, Time, FingerprintHash> served_;
-  std::deque<Fingerprint> served_order_;
+  std::unordered_map<std::string, std::vector<UnconfirmedLink>>
+      unconfirmed_links_;  ///< Keyed by server ID.
+  std::size_t unconfirmed_link_count_ = 0;
+  /// For each crashed server, the cases that were running on it.
+  std::unordered_map<std::string, std::vector<Fingerprint>> cases_by_server_;
+  std::unordered_map<Fingerprint, Time, FingerprintHash> recent_successes_;
+  std::deque<Fingerprint> recent_success_order_;
   std::size_t quarantined_ = 0;
   std::uint64_t digest_ = 0;
 };
--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr int kHexBase = 16;
-constexpr std::size_t kDigitsOfByte = 2;
+constexpr std::size_t kDigitsPerByte = 2;
 
-/// Each part with its length before it: no two lists of parts read the same.
-void Take(crypto_generichash_blake2b_state& state, std::string_view part) {
+/// Prefixes each part with its length, so that different lists of parts never hash the same input.
+void HashPart(crypto_generichash_blake2b_state& state, std::string_view part) {
   const std::uint64_t length = part.size();
   std::array<unsigned char, sizeof length> prefix{};
   std::memcpy(prefix.data(), &length, sizeof length);
@@ -28,7 +28,7 @@
   crypto_generichash_blake2b_init(&state, nullptr, 0, Fingerprint::kBytes);
   for (const std::string_view part :
        {identity.host, identity.target, identity.model, identity.body, identity.tenant})
-    Take(state, part);
+    HashPart(state, part);
   Fingerprint fingerprint;
   crypto_generichash_blake2b_final(&state, fingerprint.bytes.data(), fingerprint.bytes.size());
   return fingerprint;
@@ -45,13 +45,13 @@
 }
 
 std::optional<Fingerprint> ParseFingerprint(std::string_view text) {
-  if (text.size() != kDigitsOfByte * Fingerprint::kBytes) return std::nullopt;
+  if (text.size() != kDigitsPerByte * Fingerprint::kBytes) return std::nullopt;
   Fingerprint fingerprint;
   for (std::size_t byte = 0; byte < Fingerprint::kBytes; ++byte) {
-    const char* begin = text.data() + byte * kDigitsOfByte;
-    const char* end = begin + kDigitsOfByte;
-    const auto read = std::from_chars(begin, end, fingerprint.bytes[byte], kHexBase);
-    if (read.ec != std::errc() || read.ptr != end) return std::nullopt;
+    const char* begin = text.data() + byte * kDigitsPerByte;
+    const char* end = begin + kDigitsPerByte;
+    const auto parsed = std::from_chars(begin, end, fingerprint.bytes[byte], kHexBase);
+    if (parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
   }
   return fingerprint;
 }
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -11,14 +11,15 @@
 
 namespace moorfold {
 
-/// Tells tries of the same request from other requests, without telling what they hold.
+/// Identifies retries of the same request without revealing its content.
 ///
-/// A client's tries carry another id each and come at any daemon of any zone; what stays is what
-/// servers get to work on: tenant, host, path, model and body. The caller's address is no part of
-/// it: one caller is seen under another address at each entrance, and a request that ends servers
-/// does so whoever sends it. The digest is cryptographic (BLAKE2b): only the same content shares a
-/// fingerprint, so nobody can aim at a request whose content they cannot send themselves and end
-/// servers with.
+/// Each retry of a client carries a new request ID and may reach any daemon in any zone. The
+/// fingerprint covers what servers process and what stays the same: tenant, host, path, model and
+/// body. The client address is left out, because a client appears under a different address at each
+/// entry point, and a request that crashes servers does so whoever sends it. The digest is
+/// cryptographic (BLAKE2b), so only equal content shares a fingerprint: an attacker cannot get
+/// another client's request quarantined without being able to send the same content and crash
+/// servers with it.
 struct Fingerprint {
   static constexpr std::size_t kBytes = 16;
 
@@ -27,23 +28,24 @@
   auto operator<=>(const Fingerprint&) const = default;
 };
 
-/// What makes two tries the same request.
+/// The fields that identify a request across retries.
 struct RequestIdentity {
   std::string_view host;
-  std::string_view target;  ///< Path and query.
-  std::string_view model;   ///< As the caller names it; empty without one.
+  std::string_view target;  ///< Path and query string.
+  std::string_view model;   ///< As named by the client; empty if there is none.
   std::string_view body;
-  std::string_view tenant = {};  ///< In whose name it runs; empty without tenants.
+  std::string_view tenant = {};  ///< Tenant of the request; empty if tenants are not in use.
 };
 
 Fingerprint FingerprintOf(const RequestIdentity& identity);
 
 /// @return 32 hexadecimal digits.
 std::string ToString(const Fingerprint& fingerprint);
-/// @return nothing where `text` is not what ToString gives.
+/// @return nothing if `text` is not in the format of ToString.
 std::optional<Fingerprint> ParseFingerprint(std::string_view text);
 
-/// For hash tables: the bytes are a digest already.
+/// Hash function for hash tables. The bytes are already a digest, so their first bytes serve as the
+/// hash.
 struct FingerprintHash {
   std::size_t operator()(const Fingerprint& fingerprint) const {
     std::size_t hash = 0;
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -11,13 +11,13 @@
 
 namespace moorfold {
 
-/// Times in these messages are ages at the moment of sending, in milliseconds: daemons share no
-/// clock. What a message takes to arrive makes things look younger by that much.
+/// Times in these messages are ages at the moment of sending, in milliseconds, because daemons have
+/// no common clock. The transit time makes events appear younger by that much.
 
-/// A server that ended while it ran a request.
+/// A server that crashed while it ran a request.
 struct CrashReport {
   std::string server_id;
-  std::string version;  ///< Of the server's software.
+  std::string version;  ///< Version of the server's software.
   std::int64_t age_ms = 0;
 
   template <typename Archive>
@@ -26,9 +26,9 @@
   }
 };
 
-/// A proof that servers of a version do not end under a request: crashes before it do not count.
+/// Evidence that servers of a version do not crash under a request; earlier crashes do not count.
 struct ClearanceReport {
-  std::string version;  ///< Empty: all, by the operator's word.
+  std::string version;  ///< Empty: all versions, released by the operator.
   std::int64_t age_ms = 0;
 
   template <typename Archive>
@@ -37,7 +37,8 @@
   }
 };
 
-/// What a daemon knows of one request under which servers ended. Holds no part of the request.
+/// Evidence that a daemon holds on one request under which servers crashed. Contains no part of the
+/// request itself.
 struct CaseUpdate {
   Fingerprint fingerprint;
   std::string service;
@@ -51,7 +52,8 @@
   }
 };
 
-/// Between any two daemons, and what stands in the store. May be lost, come twice or late.
+/// Sent between any two daemons, and the value of the store entry. May be lost, duplicated or
+/// delayed.
 struct QuarantineNotice {
   std::vector<CaseUpdate> cases;
 
--- a/src/quarantine/quarantine_record.cc
+++ b/src/quarantine/quarantine_record.cc
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// Between two writes; also after one that failed.
-constexpr std::chrono::milliseconds kBetweenWrites{1'000};
+/// Minimum time between two writes; also the delay after a failed call.
+constexpr std::chrono::milliseconds kMinCallInterval{1'000};
 
 }  // namespace
 
 std::string QuarantineRecord::Summary(const QuarantineNotice& notice) {
   std::vector<std::string> rows;
-  for (const CaseUpdate& news : notice.cases) {
-    std::string row = ToString(news.fingerprint);
-    for (const std::string& version : news.quarantined_versions) row += " " + version;
+  for (const CaseUpdate& update : notice.cases) {
+    std::string row = ToString(update.fingerprint);
+    for (const std::string& version : update.quarantined_versions) row += " " + version;
     rows.push_back(row);
   }
   std::sort(rows.begin(), rows.end());
@@ -29,71 +29,73 @@
 void QuarantineRecord::Seen(const std::string& value, StoreRevision revision) {
   if (revision < revision_) return;
   revision_ = value.empty() ? StoreRevision{revision.era, 0} : revision;
-  held_ = value.empty() ? "" : Summary(DecodeMessage<QuarantineNotice>(value));
+  stored_summary_ = value.empty() ? "" : Summary(DecodeMessage<QuarantineNotice>(value));
 }
 
-void QuarantineRecord::Write(const QuarantineNotice& wanted) {
-  const std::string summary = Summary(wanted);
-  if (calling_ || BootClock::now() < not_before_) return;
-  if (must_read_) {
+void QuarantineRecord::Write(const QuarantineNotice& desired) {
+  const std::string summary = Summary(desired);
+  if (call_in_flight_ || BootClock::now() < next_call_at_) return;
+  if (needs_read_) {
     Read();
     return;
   }
-  if (summary == held_) return;
+  if (summary == stored_summary_) return;
   Transaction transaction;
   transaction.comparisons.push_back({key_, revision_});
-  if (wanted.cases.empty())
+  if (desired.cases.empty())
     transaction.operations.emplace_back(DeleteOperation{key_});
   else
-    transaction.operations.emplace_back(PutOperation{key_, EncodeMessage(wanted), {}});
-  calling_ = true;
+    transaction.operations.emplace_back(PutOperation{key_, EncodeMessage(desired), {}});
+  call_in_flight_ = true;
   store_.Transact(
       std::move(transaction),
-      [this, summary](const Outcome<TransactionResult>& result) { EndWrite(result, summary); });
+      [this, summary](const Outcome<TransactionResult>& result) { FinishWrite(result, summary); });
 }
 
-void QuarantineRecord::EndWrite(const Outcome<TransactionResult>& result,
-                                const std::string& summary) {
-  calling_ = false;
-  not_before_ = BootClock::now() + kBetweenWrites;
+void QuarantineRecord::FinishWrite(const Outcome<TransactionResult>& result,
+                                   const std::string& summary) {
+  call_in_flight_ = false;
+  next_call_at_ = BootClock::now() + kMinCallInterval;
   if (result.ok() && result.value().succeeded) {
-    held_ = summary;
+    stored_summary_ = summary;
     const StoreRevision written = result.value().revision;
     revision_ = summary.empty() ? StoreRevision{written.era, 0} : std::max(revision_, written);
     return;
   }
-  must_read_ = true;
-  NoteProblem(result.ok() ? "the entry has changed meanwhile" : result.failure().message);
+  needs_read_ = true;
+  LogProblem(result.ok() ? "the entry was changed by another writer since the last read"
+                         : result.failure().message);
 }
 
 void QuarantineRecord::Read() {
-  calling_ = true;
-  store_.Range({key_, ""}, [this](const Outcome<RangeResult>& result) { EndRead(result); });
+  call_in_flight_ = true;
+  store_.Range({key_, ""}, [this](const Outcome<RangeResult>& result) { FinishRead(result); });
 }
 
-void QuarantineRecord::EndRead(const Outcome<RangeResult>& result) {
-  calling_ = false;
+void QuarantineRecord::FinishRead(const Outcome<RangeResult>& result) {
+  call_in_flight_ = false;
   if (!result.ok()) {
-    not_before_ = BootClock::now() + kBetweenWrites;
-    NoteProblem(result.failure().message);
+    next_call_at_ = BootClock::now() + kMinCallInterval;
+    LogProblem(result.failure().message);
     return;
   }
-  must_read_ = false;
+  needs_read_ = false;
   revision_ = {result.value().revision.era, 0};
-  held_.clear();
+  stored_summary_.clear();
   if (result.value().entries.empty()) return;
   const KeyValue& entry = result.value().entries.front();
   revision_ = entry.mod_revision;
   try {
     const auto notice = DecodeMessage<QuarantineNotice>(entry.value);
-    held_ = Summary(notice);
-    heard_(notice);
-  } catch (const std::exception& error) {  // Of another version: it is replaced.
-    NoteProblem(error.what());
+    stored_summary_ = Summary(notice);
+    on_read_(notice);
+  } catch (const std::exception&
+               error) {  // Written by an incompatible version; the next write replaces it.
+    LogProblem(error.what());
   }
 }
 
-void QuarantineRecord::NoteProblem(const std::string& problem) {
+void QuarantineRecord::LogProblem(const std::string& problem) {
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kQuarantineNotStored)
                                      .Field(LogField::kKey, key_)
                                      .Field(LogField::kProblem, problem));
--- a/src/quarantine/quarantine_record.h
+++ b/src/quarantine/quarantine_record.h
@@ -11,44 +11,46 @@
 
 namespace moorfold {
 
-/// The store's entry of what is quarantined: what must outlast all daemons at once. Only the leader
-/// writes it, when a verdict has come or gone, and no more than once a second: a crash costs the
-/// store no call, whatever the number of daemons. Daemons read it with the listing of their start.
-/// One thread.
+/// Maintains the store entry that lists the quarantined requests, so that quarantine survives a
+/// restart of all daemons. Only the leader writes it, when the set of quarantined requests changes
+/// and at most once a second, so a crash by itself causes no store call, whatever the number of
+/// daemons. Daemons read the entry with the listing at their start. Not thread-safe.
 class QuarantineRecord {
  public:
-  using HeardHandler = std::function<void(const QuarantineNotice&)>;
+  using ReadHandler = std::function<void(const QuarantineNotice&)>;
 
-  /// @param heard is told what the store holds where this had to be read.
-  QuarantineRecord(KeyValueStore& store, EventLog& log, std::string key, HeardHandler heard)
-      : store_(store), log_(log), key_(std::move(key)), heard_(std::move(heard)) {}
+  /// @param on_read receives the stored cases after this object has had to read the entry.
+  QuarantineRecord(KeyValueStore& store, EventLog& log, std::string key, ReadHandler on_read)
+      : store_(store), log_(log), key_(std::move(key)), on_read_(std::move(on_read)) {}
 
-  /// The store shows the entry so. @param value empty: there is none.
+  /// Takes the entry as a read of the store returned it. @param value empty if there is no entry.
   void Seen(const std::string& value, StoreRevision revision);
-  /// Writes `wanted` if the store does not hold those verdicts. @pre this daemon leads.
-  void Write(const QuarantineNotice& wanted);
-  /// @return the key in the store.
+  /// Writes `desired` if the store holds other quarantined requests or versions. @pre this daemon
+  /// leads.
+  void Write(const QuarantineNotice& desired);
+  /// @return the key of the store entry.
   const std::string& key() const { return key_; }
 
  private:
-  /// What a write would change: fingerprints and versions, not ages.
+  /// Summarizes the fingerprints and versions, without ages, to detect whether a write is needed.
   static std::string Summary(const QuarantineNotice& notice);
-  /// A daemon that followed another's reads has not seen each change of the key: whoever finds that
-  /// its own view is old, or does not know what became of a write, reads the key.
+  /// Reads the key when the known revision is out of date or the outcome of a write is unknown. A
+  /// new leader that previously received its state from another daemon has not seen each change of
+  /// the key.
   void Read();
-  void EndRead(const Outcome<RangeResult>& result);
-  void NoteProblem(const std::string& problem);
-  void EndWrite(const Outcome<TransactionResult>& result, const std::string& summary);
+  void FinishRead(const Outcome<RangeResult>& result);
+  void LogProblem(const std::string& problem);
+  void FinishWrite(const Outcome<TransactionResult>& result, const std::string& summary);
 
   KeyValueStore& store_;
   EventLog& log_;
   std::string key_;
-  StoreRevision revision_;  ///< Of the entry; number 0: there is none in that era.
-  std::string held_;        ///< Summary of what the store holds.
-  HeardHandler heard_;
-  bool calling_ = false;
-  bool must_read_ = false;
-  BootClock::time_point not_before_{};
+  StoreRevision revision_;  ///< Revision of the entry; number 0 if there is no entry in that era.
+  std::string stored_summary_;  ///< Summary of the stored value.
+  ReadHandler on_read_;
+  bool call_in_flight_ = false;
+  bool needs_read_ = false;
+  BootClock::time_point next_call_at_{};
 };
 
 }  // namespace moorfold
--- a/src/quarantine/quarantine_service.h
+++ b/src/quarantine/quarantine_service.h
@@ -18,61 +18,65 @@
 
 namespace moorfold {
 
-/// Counts of one daemon, for its figures.
+/// Counters of one daemon, exported as metrics.
 struct QuarantineCounters {
-  std::uint64_t servers_ended = 0;  ///< Under requests of this daemon, as far as shown.
-  std::uint64_t refused = 0;        ///< Requests that were not sent since servers end under them.
-  std::uint64_t cases_dropped = 0;  ///< Heard and not believed, or without room.
+  std::uint64_t servers_ended =
+      0;  ///< Servers that ended under requests of this daemon, as far as detected.
+  std::uint64_t refused = 0;  ///< Requests that were refused because servers crash under them.
+  std::uint64_t cases_dropped =
+      0;  ///< Received cases that were invalid, or for which there was no room.
   std::int64_t cases = 0;
   std::int64_t quarantined = 0;
 };
 
-/// Keeps a daemon's case book (see quarantine::CrashTracker) in touch with its surroundings: looks
-/// whether servers live whose links have ended, tells other daemons what is new, writes the log.
+/// Connects the crash tracker of a daemon (see quarantine::CrashTracker) to the network: probes
+/// servers that closed connections, sends new evidence to other daemons, and writes the log.
 ///
-/// Spreading does without a leader: what this daemon saw goes at once to the leader and to some
-/// other daemons, and again with each report for a while, so that lost datagrams and a change of
-/// leader are made up for; what it heard anew it passes on to a few. Each doubles the number that
-/// know, so 295 daemons know within some exchanges of milliseconds. Daemons that were out of reach
-/// compare a digest with the leader twice a second and are told what they lack.
+/// Dissemination does not depend on a leader (gossip). Evidence that this daemon observed goes at
+/// once to the leader and a few random peers, and is repeated with each periodic tick for a while
+/// to make up for lost datagrams and a change of leader. Evidence received from others is forwarded
+/// to a few random peers if it was new. Each round multiplies the number of daemons that have the
+/// evidence, so 295 daemons have it within a few message exchanges of milliseconds each. Daemons
+/// that were unreachable compare a digest with the leader twice a second and are sent the cases
+/// they lack.
 ///
-/// One thread.
+/// Not thread-safe.
 class QuarantineService {
  public:
-  /// How it reaches what is around it.
+  /// Functions through which the service reaches the rest of the daemon.
   struct Ports {
     std::function<void(const std::string& to, const QuarantineNotice& notice)> send;
-    /// To all daemons that reported; does nothing where this daemon does not lead.
+    /// Sends to all daemons that report to this one; does nothing if this daemon is not the leader.
     std::function<void(const QuarantineNotice& notice)> broadcast;
-    /// "IP:PORT" of the leader, if it is another daemon.
+    /// @return "IP:PORT" of the leader if it is another daemon.
     std::function<std::optional<std::string>()> leader;
-    /// "IP:PORT" of other daemons, as far as known.
+    /// @return "IP:PORT" of the other known daemons.
     std::function<std::vector<std::string>()> peers;
     std::function<std::optional<Endpoint>(const std::string& server_id)> server;
     std::function<bool(const std::string& service)> service_exists;
-    /// Requests that wait may look again.
+    /// Called after a change, so that waiting requests can select a server again.
     std::function<void()> changed;
   };
 
   QuarantineService(boost::asio::io_context& context, quarantine::Settings settings, EventLog& log,
-                    QuarantineCounters& figures, Ports ports);
+                    QuarantineCounters& counters, Ports ports);
 
-  const quarantine::CrashTracker& tracker() const { return book_; }
+  const quarantine::CrashTracker& tracker() const { return tracker_; }
   quarantine::QuarantineState StateFor(const Fingerprint& fingerprint,
                                        const std::string& version) const {
-    return book_.StateFor(fingerprint, version, BootClock::now());
+    return tracker_.StateFor(fingerprint, version, BootClock::now());
   }
 
-  /// Takes in what has happened here.
+  /// Handles an event that this daemon observed.
   void Note(const quarantine::Event& event);
-  /// Takes in what another daemon, or the store, tells.
+  /// Handles cases received from another daemon or read from the store.
   void Hear(const QuarantineNotice& notice);
-  /// Before a request whose link was ended is sent to another server: returns once it is known
-  /// whether the server has ended, or cannot be told soon; a suspect waits also for what other
-  /// daemons say of it.
+  /// Called before a request whose connection was closed is sent to another server. Returns once it
+  /// is known whether the server has ended, or after a short timeout. If the request then has a
+  /// case, also waits for evidence from other daemons.
   Awaitable<void> AwaitEvidence(const std::string& server_id, const Fingerprint& fingerprint);
 
-  /// Of a try of a suspected request, while it is at a server.
+  /// Registers an attempt to send a suspected request to a server, for the lifetime of this object.
   class SuspectAttempt {
    public:
     SuspectAttempt(QuarantineService& service, const Fingerprint& fingerprint,
@@ -86,50 +90,51 @@
     Fingerprint fingerprint_;
     std::string server_id_;
   };
-  /// @return whether a try of the same request is at a server now.
+  /// @return whether an attempt of the same request is in flight on a server.
   bool HasAttemptInFlight(const Fingerprint& fingerprint) const {
-    return trials_.contains(fingerprint);
+    return suspect_attempts_.contains(fingerprint);
   }
-  /// @return servers that have a suspected request of this daemon now.
+  /// @return servers on which this daemon has suspected requests in flight.
   std::vector<std::string> ServersWithSuspects() const;
 
-  /// Twice a second: repeats what is young, forgets what is old.
+  /// Called twice a second: repeats recent evidence and removes expired cases.
   void Tick();
-  /// @param digest of another daemon's book: it is told what it may lack.
+  /// Sends cases to another daemon if its digest differs from that of this daemon.
+  /// @param digest of the other daemon's tracker.
   void SendCasesIfDigestDiffers(std::uint64_t digest, const std::string& address);
-  /// @return all that is quarantined, as far as one entry of the store should carry.
+  /// @return the quarantined cases, up to the number that one store entry can hold.
   QuarantineNotice QuarantinedCases() const;
 
  private:
   using Time = BootClock::time_point;
 
-  void Apply(const quarantine::Effects& effects, bool own);
-  void Log(const quarantine::CaseChange& ruling);
-  void SpreadSoon(const std::vector<Fingerprint>& news, bool own);
-  void Spread();
-  void JudgeSoon();
-  Awaitable<void> LookAt(std::string server_id);
-  std::vector<QuarantineNotice> Pack(const std::vector<Fingerprint>& fingerprints) const;
-  /// @return the leader and up to `most` other daemons, drawn anew each time.
-  std::vector<std::string> Targets(std::size_t most);
+  void Apply(const quarantine::Effects& effects, bool local);
+  void Log(const quarantine::CaseChange& change);
+  void ScheduleUpdates(const std::vector<Fingerprint>& updated, bool local);
+  void SendUpdates();
+  void ScheduleEvaluation();
+  Awaitable<void> ProbeServer(std::string server_id);
+  std::vector<QuarantineNotice> MakeNotices(const std::vector<Fingerprint>& fingerprints) const;
+  /// @return the leader and up to `max_peers` other daemons, selected at random on each call.
+  std::vector<std::string> PickTargets(std::size_t max_peers);
   void SendTo(const std::vector<std::string>& targets,
               const std::vector<QuarantineNotice>& notices);
 
   boost::asio::io_context& context_;
-  quarantine::CrashTracker book_;
+  quarantine::CrashTracker tracker_;
   quarantine::Settings settings_;
   EventLog& log_;
-  QuarantineCounters& figures_;
+  QuarantineCounters& counters_;
   Ports ports_;
-  AsyncSignal signs_;
+  AsyncSignal evidence_changed_;
   std::set<Fingerprint> outgoing_;
-  bool outgoing_own_ = false;
-  BootTimer spread_timer_;
-  BootTimer judge_timer_;
-  /// What this daemon learnt itself, by when: repeated while it is young.
-  std::map<Fingerprint, Time> young_;
-  std::multimap<Fingerprint, std::string> trials_;
-  std::size_t cursor_ = 0;
+  bool outgoing_has_local_ = false;
+  BootTimer update_timer_;
+  BootTimer evaluation_timer_;
+  /// Evidence that this daemon observed, with the time of observation; repeated while it is recent.
+  std::map<Fingerprint, Time> recently_observed_;
+  std::multimap<Fingerprint, std::string> suspect_attempts_;
+  std::size_t sync_cursor_ = 0;
   std::mt19937 random_{std::random_device{}()};
 };
 
--- a/src/server_limits/permit_allocator.h
+++ b/src/server_limits/permit_allocator.h
@@ -13,45 +13,46 @@
 
 using Time = BootClock::time_point;
 
-/// Whether this daemon gives turns out.
+/// Whether this daemon grants permits.
 enum class AllocatorRole : std::uint8_t {
-  kNone,    ///< Another leads.
-  kDeputy,  ///< It led last, as far as it knows: its lease has run out, and it knows of no other.
+  kNone,    ///< Another daemon is the leader.
+  kDeputy,  ///< The last known leader: its lease has expired, and it knows of no successor.
   kLeader
 };
 
-/// Shares the limits of servers out among all daemons: one turn after the other, evenly spaced,
-/// each to the daemon that asks first. One daemon has it, so the sum keeps to the limit however
-/// many daemons ask; whoever takes over begins without turns saved up.
+/// Grants permits for rate-limited servers to all daemons: evenly spaced and first come, first
+/// served. Only one daemon allocates for a server, so the total stays within the limit however many
+/// daemons ask. A new leader starts without saved permits.
 ///
-/// Ways that were weighed: equal shares for each daemon leave a server idle that few of them use,
-/// and a share of one turn in a quarter of an hour helps nobody; credit that each daemon makes and
-/// pools, as tenants' quotas have it, needs every daemon to know of every limited server.
+/// Rejected alternatives: with equal shares per daemon, a server that only a few daemons use stays
+/// idle, and a share of one permit per quarter of an hour is of no use. With credit that each
+/// daemon accrues and pools, as for tenant quotas, every daemon would need to know every limited
+/// server.
 ///
-/// Pure; one thread.
+/// Deterministic: time is passed in. Not thread-safe.
 class PermitAllocator {
  public:
-  PermitResponse Answer(const PermitRequest& question, AllocatorRole role, Time now);
-  /// @return servers of which a limit is known.
+  PermitResponse Allocate(const PermitRequest& request, AllocatorRole role, Time now);
+  /// @return number of servers that have an entry.
   std::size_t size() const { return entries_.size(); }
 
  private:
-  using Key = std::pair<std::string, std::int64_t>;  ///< Server and life.
+  using Key = std::pair<std::string, std::int64_t>;  ///< Server ID and incarnation.
   struct Entry {
     std::optional<double> limit_per_second;
     Time stated_at{};
-    Time next_turn{};
-    /// Denied since turns were last to be had.
-    double denied = 0;
-    Time asked_at{};
+    Time next_permit_at{};
+    /// Requests denied since permits were last available; reduced by each grant.
+    double denied_requests = 0;
+    Time requested_at{};
   };
 
-  Entry& Find(const PermitRequest& question, AllocatorRole role, Time now);
-  static BootClock::duration Between(const Entry& entry, AllocatorRole role);
-  void Forget(Time now);
+  Entry& FindOrCreate(const PermitRequest& request, AllocatorRole role, Time now);
+  static BootClock::duration PermitInterval(const Entry& entry, AllocatorRole role);
+  void RemoveStaleEntries(Time now);
 
   std::map<Key, Entry> entries_;
-  Time forget_due_{};
+  Time next_cleanup_{};
 };
 
 }  // namespace moorfold::limits
--- a/src/server_limits/permit_counters.h
+++ b/src/server_limits/permit_counters.h
@@ -4,15 +4,18 @@
 
 namespace moorfold {
 
-/// Counts of one daemon, for its figures.
+/// Counters of one daemon, exported as metrics.
 struct PermitCounters {
   std::uint64_t asked = 0;
-  std::uint64_t answered = 0;  ///< Questions of other daemons and of this one.
-  std::uint64_t granted = 0;   ///< Requests here that may be sent to a limited server.
+  std::uint64_t answered = 0;  ///< Permit requests answered, from other daemons and from this one.
+  std::uint64_t granted =
+      0;  ///< Requests of this daemon that were permitted to go to a limited server.
   std::uint64_t denied = 0;
-  std::uint64_t fallback_permits = 0;  ///< Sent while nobody answered.
+  std::uint64_t fallback_permits =
+      0;  ///< Requests sent on a fallback permit because no allocator responded.
   std::uint64_t unanswered = 0;
-  std::uint64_t dropped = 0;  ///< Answers to no question.
+  std::uint64_t dropped =
+      0;  ///< Responses that match no pending permit request or are not from the leader.
 };
 
 }  // namespace moorfold
--- a/src/server_limits/permit_messages.h
+++ b/src/server_limits/permit_messages.h
@@ -5,17 +5,20 @@
 
 namespace moorfold {
 
-/// To the daemon that shares limits of servers out: may a request go there now? May be lost.
+/// Asks the daemon that allocates permits (the leader) whether a request may be sent to a server
+/// now. May be lost.
 struct PermitRequest {
-  std::int64_t asked_at_us = 0;  ///< By the sender's clock; the answer brings it back.
+  std::int64_t asked_at_us =
+      0;  ///< Clock of the sender; copied into the response to match it to the request.
   std::string server_id;
-  std::int64_t life = 0;  ///< Of the server, as ServerRecord has it.
-  bool limited = true;    ///< False: the server names no limit any more.
+  std::int64_t life = 0;  ///< Incarnation of the server, as in ServerRecord.
+  bool limited = true;    ///< False if the server no longer states a limit.
   double limit_per_second = 0;
-  /// How old that is, when this is sent: since the request was sent that showed it.
+  /// Age of the stated limit at the time of sending, in microseconds: the time since the request
+  /// was sent whose response stated it.
   std::int64_t age_us = 0;
-  /// How long the request would wait for its turn; below zero: there is no request, this only tells
-  /// what the server said.
+  /// How long the request can wait for its permit. Negative if no permit is wanted and the message
+  /// only reports what the server stated.
   std::int64_t max_wait_us = 0;
 
   template <typename Archive>
@@ -25,17 +28,18 @@
 };
 
 enum class PermitVerdict : std::uint8_t {
-  kGranted,      ///< The request may be sent after the stated time, and shortly after that.
-  kDenied,       ///< The turns within its patience are taken.
-  kUnlimited,    ///< The server names no limit any more.
-  kNotAllocator  ///< This daemon shares no limits out.
+  kGranted,    ///< The request may be sent once `wait_us` has passed, and only shortly after that.
+  kDenied,     ///< All permits within the maximum wait are taken.
+  kUnlimited,  ///< The server no longer states a limit.
+  kNotAllocator  ///< This daemon does not allocate permits.
 };
 
-/// To one question. May be lost, and its turn with it.
+/// Response to one permit request. May be lost, and the permit it grants is then lost as well.
 struct PermitResponse {
-  std::int64_t asked_at_us = 0;  ///< Of the question.
+  std::int64_t asked_at_us = 0;  ///< Copied from the request.
   PermitVerdict verdict = PermitVerdict::kNotAllocator;
-  std::int64_t wait_us = 0;  ///< Until the turn, or until asking again makes sense.
+  std::int64_t wait_us =
+      0;  ///< Time until the permit is valid, or until it makes sense to ask again.
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -11,10 +11,10 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// A leader that has not answered is asked again after that.
-constexpr milliseconds kAskSilentAgain{500};
-/// Between two looks for an own turn.
-constexpr milliseconds kOwnTurnPause{100};
+/// Pause before a leader that did not respond is asked again.
+constexpr milliseconds kUnresponsiveLeaderPause{500};
+/// Pause between two attempts to take a fallback permit.
+constexpr milliseconds kFallbackRetryPause{100};
 
 std::int64_t Microseconds(BootClock::duration duration) {
   return std::chrono::duration_cast<microseconds>(duration).count();
@@ -23,16 +23,16 @@
 }  // namespace
 
 PermitService::PermitService(boost::asio::io_context& context, std::string self,
-                             PermitCounters& figures, Ports ports)
+                             PermitCounters& counters, Ports ports)
     : self_(std::move(self)),
-      figures_(figures),
+      counters_(counters),
       ports_(std::move(ports)),
       fallback_permits_(std::hash<std::string>{}(self_)),
-      answered_(context.get_executor()) {}
+      response_arrived_(context.get_executor()) {}
 
-PermitRequest PermitService::MakeQuestion(const Server& server, microseconds max_wait) {
+PermitRequest PermitService::MakeRequest(const Server& server, microseconds max_wait) {
   const auto now = BootClock::now();
-  // Questions are told apart by it.
+  // asked_at_us identifies the request, so it must be unique.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
   const ServerStanding& standing = server.standing();
   return {last_asked_us_,
@@ -44,91 +44,95 @@
           max_wait.count()};
 }
 
-Awaitable<std::optional<PermitResponse>> PermitService::Ask(const PermitRequest& question) {
-  ++figures_.asked;
+Awaitable<std::optional<PermitResponse>> PermitService::RequestPermit(
+    const PermitRequest& request) {
+  ++counters_.asked;
   if (ports_.role() == limits::AllocatorRole::kLeader) {
-    ++figures_.answered;
-    co_return pool_.Answer(question, limits::AllocatorRole::kLeader, BootClock::now());
+    ++counters_.answered;
+    co_return allocator_.Allocate(request, limits::AllocatorRole::kLeader, BootClock::now());
   }
   const std::string leader = ports_.leader();
   const auto asked_at = BootClock::now();
-  if (leader.empty() || leader == self_ || asked_at < silent_until_) co_return std::nullopt;
-  const std::int64_t id = question.asked_at_us;
-  open_[id].reset();
-  ports_.ask(leader, question);
-  const Time give_up = asked_at + limits::kAnswerTimeout;
-  while (!open_[id] && BootClock::now() < give_up) co_await answered_.Wait(give_up);
-  std::optional<PermitResponse> answer = open_[id];
-  open_.erase(id);
-  const bool here = answer && answer->verdict != PermitVerdict::kNotAllocator;
-  if (!answer) ++figures_.unanswered;
-  if (here) co_return answer;
-  silent_until_ = BootClock::now() + kAskSilentAgain;
+  if (leader.empty() || leader == self_ || asked_at < leader_unresponsive_until_)
+    co_return std::nullopt;
+  const std::int64_t id = request.asked_at_us;
+  pending_[id].reset();
+  ports_.ask(leader, request);
+  const Time deadline = asked_at + limits::kAnswerTimeout;
+  while (!pending_[id] && BootClock::now() < deadline) co_await response_arrived_.Wait(deadline);
+  std::optional<PermitResponse> response = pending_[id];
+  pending_.erase(id);
+  const bool allocated = response && response->verdict != PermitVerdict::kNotAllocator;
+  if (!response) ++counters_.unanswered;
+  if (allocated) co_return response;
+  leader_unresponsive_until_ = BootClock::now() + kUnresponsiveLeaderPause;
   co_return std::nullopt;
 }
 
-bool PermitService::TakeOwnTurn(Server& server) {
+bool PermitService::TryFallbackPermit(Server& server) {
   const auto now = BootClock::now();
   const double limit = server.standing().limit_per_second.value_or(0);
   if (fallback_permits_.TryAcquire(server.record().id, limit, ports_.daemons(), now)) {
-    ++figures_.fallback_permits;
+    ++counters_.fallback_permits;
     return true;
   }
-  ++figures_.denied;
-  server.NoteAtLimit(now + kOwnTurnPause);
+  ++counters_.denied;
+  server.NoteAtLimit(now + kFallbackRetryPause);
   return false;
 }
 
 Awaitable<bool> PermitService::Acquire(ServerPtr server, milliseconds max_wait) {
   if (!server->standing().limit_per_second) co_return true;
-  const PermitRequest question = MakeQuestion(*server, max_wait);
-  const std::optional<PermitResponse> answer = co_await Ask(question);
-  if (!answer) co_return TakeOwnTurn(*server);
+  const PermitRequest request = MakeRequest(*server, max_wait);
+  const std::optional<PermitResponse> response = co_await RequestPermit(request);
+  if (!response) co_return TryFallbackPermit(*server);
   const auto now = BootClock::now();
-  if (answer->verdict == PermitVerdict::kUnlimited) {
-    server->EndLimit(Time(microseconds(question.asked_at_us)));
+  if (response->verdict == PermitVerdict::kUnlimited) {
+    server->EndLimit(Time(microseconds(request.asked_at_us)));
     co_return true;
   }
-  const bool granted = answer->verdict == PermitVerdict::kGranted;
-  const microseconds least = granted ? microseconds(0) : microseconds(limits::kMinRetryDelay);
-  const microseconds longest =
+  const bool granted = response->verdict == PermitVerdict::kGranted;
+  const microseconds shortest_wait =
+      granted ? microseconds(0) : microseconds(limits::kMinRetryDelay);
+  const microseconds longest_wait =
       granted ? microseconds(max_wait) : microseconds(limits::kMaxRetryDelay);
-  const microseconds wait = std::clamp(microseconds(answer->wait_us), least, longest);
+  const microseconds wait =
+      std::clamp(microseconds(response->wait_us), shortest_wait, longest_wait);
   if (!granted) {
-    ++figures_.denied;
+    ++counters_.denied;
     server->NoteAtLimit(now + wait);
     co_return false;
   }
-  ++figures_.granted;
+  ++counters_.granted;
   if (wait.count() > 0) co_await Sleep(wait);
   co_return true;
 }
 
 void PermitService::ReportLimitRemoved(const Server& server) {
-  constexpr microseconds kTellsOnly{-1};
-  const PermitRequest news = MakeQuestion(server, kTellsOnly);
+  constexpr microseconds kNoPermitWanted{-1};
+  const PermitRequest notice = MakeRequest(server, kNoPermitWanted);
   if (ports_.role() == limits::AllocatorRole::kLeader) {
-    pool_.Answer(news, limits::AllocatorRole::kLeader, BootClock::now());
+    allocator_.Allocate(notice, limits::AllocatorRole::kLeader, BootClock::now());
     return;
   }
   const std::string leader = ports_.leader();
-  if (!leader.empty() && leader != self_) ports_.ask(leader, news);
+  if (!leader.empty() && leader != self_) ports_.ask(leader, notice);
 }
 
-void PermitService::Hear(const PermitRequest& question, const std::string& from) {
-  ++figures_.answered;
-  const PermitResponse answer = pool_.Answer(question, ports_.role(), BootClock::now());
-  if (question.max_wait_us >= 0) ports_.answer(from, answer);
+void PermitService::Hear(const PermitRequest& request, const std::string& from) {
+  ++counters_.answered;
+  const PermitResponse response = allocator_.Allocate(request, ports_.role(), BootClock::now());
+  if (request.max_wait_us >= 0) ports_.answer(from, response);
 }
 
-void PermitService::Hear(const PermitResponse& answer, const std::string& from) {
-  const auto open = open_.find(answer.asked_at_us);
-  if (open == open_.end() || from != ports_.leader()) {
-    ++figures_.dropped;
+void PermitService::Hear(const PermitResponse& response, const std::string& from) {
+  const auto pending = pending_.find(response.asked_at_us);
+  if (pending == pending_.end() || from != ports_.leader()) {
+    ++counters_.dropped;
     return;
   }
-  open->second = answer;
-  answered_.NotifyAll();
+  pending->second = response;
+  response_arrived_.NotifyAll();
 }
 
 }  // namespace moorfold
--- a/src/server_limits/permit_service.h
+++ b/src/server_limits/permit_service.h
@@ -14,55 +14,59 @@
 
 namespace moorfold {
 
-/// Lets requests go to servers that name a limit, as many as all daemons together may send there:
-/// asks the leader for each (see limits::PermitAllocator), or answers while this daemon leads. One
-/// thread.
+/// Enforces the rate limits that servers state, over all daemons together. Requests a permit from
+/// the leader for each request to a limited server (see limits::PermitAllocator), or allocates
+/// permits itself while this daemon is the leader. Falls back to limits::FallbackPermits if no
+/// allocator responds. Not thread-safe.
 class PermitService {
  public:
   struct Ports {
-    std::function<void(const std::string& to, const PermitRequest& question)> ask;
+    std::function<void(const std::string& to, const PermitRequest& request)> ask;
     std::function<void(const std::string& to, const PermitResponse& answer)> answer;
-    /// @return "IP:PORT" of whoever leads, as far as known; empty: nobody.
+    /// @return "IP:PORT" of the known leader; empty if there is none.
     std::function<std::string()> leader;
     std::function<limits::AllocatorRole()> role;
-    /// @return daemons of the fleet, as far as known; 0: unknown.
+    /// @return number of daemons in the fleet; 0 if unknown.
     std::function<std::uint32_t()> daemons;
   };
 
   /// @param self "IP:PORT" at which other daemons reach this one.
-  PermitService(boost::asio::io_context& context, std::string self, PermitCounters& figures,
+  PermitService(boost::asio::io_context& context, std::string self, PermitCounters& counters,
                 Ports ports);
 
-  /// @param patience how long the request may wait for its turn.
-  /// @return whether a request may be sent to the server at once. If not, the server knows when
-  /// another may be (Server::NoteAtLimit).
+  /// Obtains a permit to send a request to the server, and waits until the permit is valid.
+  /// @param max_wait how long the request may wait for its permit.
+  /// @return whether the request may be sent at once. If not, the server records when to try again
+  /// (Server::NoteAtLimit).
   Awaitable<bool> Acquire(ServerPtr server, std::chrono::milliseconds max_wait);
-  /// The server names no limit any more: others need not ask for it.
+  /// Reports to the leader that the server no longer states a limit, so that other daemons need not
+  /// request permits.
   void ReportLimitRemoved(const Server& server);
 
-  /// From other daemons. @param from "IP:PORT" of the sender.
-  void Hear(const PermitRequest& question, const std::string& from);
+  /// Handles a message of another daemon. @param from "IP:PORT" of the sender.
+  void Hear(const PermitRequest& request, const std::string& from);
   void Hear(const PermitResponse& answer, const std::string& from);
 
  private:
   using Time = BootClock::time_point;
 
-  PermitRequest MakeQuestion(const Server& server, std::chrono::microseconds max_wait);
-  /// @return nothing where nobody answers.
-  Awaitable<std::optional<PermitResponse>> Ask(const PermitRequest& question);
-  /// Nobody answers: the daemon's own part of the limit counts.
-  bool TakeOwnTurn(Server& server);
+  PermitRequest MakeRequest(const Server& server, std::chrono::microseconds max_wait);
+  /// @return nothing if no allocator responds.
+  Awaitable<std::optional<PermitResponse>> RequestPermit(const PermitRequest& request);
+  /// Uses the fallback share of this daemon when no allocator responds.
+  bool TryFallbackPermit(Server& server);
 
   std::string self_;
-  PermitCounters& figures_;
+  PermitCounters& counters_;
   Ports ports_;
-  limits::PermitAllocator pool_;
+  limits::PermitAllocator allocator_;
   limits::FallbackPermits fallback_permits_;
-  AsyncSignal answered_;
-  /// Questions under way, by when they were asked.
-  std::map<std::int64_t, std::optional<PermitResponse>> open_;
+  AsyncSignal response_arrived_;
+  /// Pending permit requests, keyed by their asked_at_us.
+  std::map<std::int64_t, std::optional<PermitResponse>> pending_;
   std::int64_t last_asked_us_ = 0;
-  Time silent_until_{};  ///< Whoever leads has not answered lately.
+  Time leader_unresponsive_until_{};  ///< The leader has not responded recently and is not asked
+                                      ///< before this time.
 };
 
 }  // namespace moorfold
--- a/test/quarantine/crashing_request_test.cc
+++ b/test/quarantine/crashing_request_test.cc
@@ -1,4 +1,4 @@
-// Requests under which servers end, against whole gateways over sockets.
+// Requests that crash servers, tested against complete gateways over sockets.
 
 #include "gateway_deployment.h"
 
@@ -13,9 +13,9 @@
   return options;
 }
 
-/// Three gateways under load, and a client that sends one request under which servers end.
-struct EndingDeployment : Deployment {
-  explicit EndingDeployment(int gateway_count = 3) : Deployment(gateway_count, ManyServers()) {
+/// Three gateways under load, and a client that retries one request that crashes servers.
+struct CrashDeployment : Deployment {
+  explicit CrashDeployment(int gateway_count = 3) : Deployment(gateway_count, ManyServers()) {
     REQUIRE(RunUntil([&] { return AllReady() && Leaders() == 1; }));
     clients->Start(6);
   }
@@ -28,11 +28,12 @@
   }
 };
 
-TEST_CASE("A request under which servers end is sent to three of them at most, at any gateway") {
+TEST_CASE(
+    "A request that crashes servers reaches at most three of them, whichever gateways receive it") {
   for (const RequestKind kind :
        {RequestKind::kAtMostOnce, RequestKind::kRepeatable, RequestKind::kStream}) {
     CAPTURE(static_cast<int>(kind));
-    EndingDeployment deployment;
+    CrashDeployment deployment;
     deployment.clients->StartEnding("one", kind, milliseconds(400), 1);
     deployment.RunFor(milliseconds(9'000));
     deployment.Finish();
@@ -43,8 +44,10 @@
   }
 }
 
-TEST_CASE("What is quarantined outlasts all daemons, and no entry is made for an unknown service") {
-  // As a leader that is gone left it. The key stands before the configuration in each listing.
+TEST_CASE(
+    "Quarantine survives a restart of all daemons, and a stored case of an unknown service is "
+    "dropped") {
+  // The entry as a previous leader left it. Its key precedes the configuration in each listing.
   const auto quarantined = [](const std::string& body, const std::string& service) {
     return CaseUpdate{FingerprintOf({EmulatedPlatform::kHost, "/once/x", "", body}),
                       service,
--- a/test/quarantine/fingerprint_test.cc
+++ b/test/quarantine/fingerprint_test.cc
@@ -6,20 +6,20 @@
 namespace moorfold {
 namespace {
 
-TEST_CASE("Host, path, model and body make a fingerprint, and nothing else does") {
-  const RequestIdentity asked{"host", "/p/x?q=1", "m", "body"};
-  CHECK(FingerprintOf(asked) == FingerprintOf(asked));
+TEST_CASE("Requests that differ in host, path, model or body have different fingerprints") {
+  const RequestIdentity identity{"host", "/p/x?q=1", "m", "body"};
+  CHECK(FingerprintOf(identity) == FingerprintOf(identity));
   const std::set<Fingerprint> different = {
-      FingerprintOf(asked), FingerprintOf({"hos", "/p/x?q=1", "m", "body"}),
+      FingerprintOf(identity), FingerprintOf({"hos", "/p/x?q=1", "m", "body"}),
       FingerprintOf({"host", "/p/x", "m", "body"}), FingerprintOf({"host", "/p/x?q=1", "", "body"}),
       FingerprintOf({"host", "/p/x?q=1", "m", ""}),
-      // The same characters, cut elsewhere.
+      // The same characters, divided differently between the parts.
       FingerprintOf({"host/", "p/x?q=1", "m", "body"}),
       FingerprintOf({"host", "/p/x?q=1", "mb", "ody"})};
   CHECK(different.size() == 7);
 }
 
-TEST_CASE("A fingerprint is written as text and read again, and nothing else is read") {
+TEST_CASE("A fingerprint survives conversion to text and back, and other text is rejected") {
   const Fingerprint fingerprint = FingerprintOf({"host", "/p", "m", "body"});
   CHECK(ToString(fingerprint).size() == 32);
   CHECK(ParseFingerprint(ToString(fingerprint)) == fingerprint);
--- a/test/quarantine/quarantine_record_test.cc
+++ b/test/quarantine/quarantine_record_test.cc
@@ -25,7 +25,7 @@
     return read.entries.empty() ? QuarantineNotice{}
                                 : DecodeMessage<QuarantineNotice>(read.entries[0].value);
   }
-  /// Calls Write as a leader does, twice a second, until the store holds that many cases.
+  /// Calls Write repeatedly, as a leader does, until the store holds the given number of cases.
   bool WriteUntilStored(const QuarantineNotice& wanted, std::size_t cases) {
     const auto give_up = BootClock::now() + milliseconds(10'000);
     while (Stored().cases.size() != cases && BootClock::now() < give_up) {
@@ -45,9 +45,9 @@
                           [this](const QuarantineNotice& notice) { heard.push_back(notice); }};
 };
 
-TEST_CASE("A leader that has not seen the newest list reads it, and writes its own then") {
+TEST_CASE("A leader with an outdated view of the store entry reads it before it writes its own") {
   RecordFixture fixture;
-  // A leader before wrote it, while this daemon followed and read no keys.
+  // A previous leader wrote the entry while this daemon followed it and read no keys.
   Transaction before;
   before.operations.emplace_back(
       PutOperation{kKey, EncodeMessage(QuarantineNotice{{Quarantined("a")}}), {}});
@@ -57,9 +57,10 @@
   CHECK(fixture.heard[0].cases.size() == 1);
 }
 
-TEST_CASE("A write whose answer is lost is found done, and a list that ends is removed") {
+TEST_CASE(
+    "A write whose response is lost is found to be applied, and an empty list removes the entry") {
   RecordFixture fixture;
-  fixture.record.Seen("", fixture.table.revision());  // By the listing at a daemon's start.
+  fixture.record.Seen("", fixture.table.revision());  // From the listing at daemon start.
   fixture.store.lose_answers = true;
   CHECK(fixture.WriteUntilStored({{Quarantined("a")}}, 1));
   fixture.store.lose_answers = false;
@@ -68,7 +69,8 @@
   CHECK(fixture.table.Range({kKey, ""}).entries.empty());
 }
 
-TEST_CASE("Nothing is written where the store holds the same verdicts, whatever their ages") {
+TEST_CASE(
+    "Nothing is written if the store holds the same quarantined requests, whatever their ages") {
   RecordFixture fixture;
   CHECK(fixture.WriteUntilStored({{Quarantined("a")}}, 1));
   const StoreRevision revision = fixture.table.Range({kKey, ""}).revision;
--- a/test/quarantine/quarantined_request_test.cc
+++ b/test/quarantine/quarantined_request_test.cc
@@ -1,4 +1,4 @@
-// What callers get for a request under which servers end, and what is sent on of it.
+// Responses to a request that crashes servers, and whether it is forwarded.
 
 #include <catch2/catch.hpp>
 
@@ -16,48 +16,51 @@
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Servers that end under whatever they are sent.
-struct EndingServers {
-  EndingServers(PipelineFixture& fixture, int count) : fixture_(fixture) {
+/// Servers that crash on any request.
+struct CrashingServers {
+  CrashingServers(PipelineFixture& fixture, int count) : fixture_(fixture) {
     for (int number = 0; number < count; ++number) {
       const auto index = static_cast<std::size_t>(number);
-      ending.push_back(std::make_unique<ScriptedServer>([this, index](ScriptedConnection& caller) {
-        if (caller.ReadHead().empty()) return;
-        ending[index]->StopListening();
-        caller.Reset();
-      }));
-      fixture_.AddServer("i-" + std::to_string(number), ending.back()->endpoint());
+      crashing_servers.push_back(
+          std::make_unique<ScriptedServer>([this, index](ScriptedConnection& caller) {
+            if (caller.ReadHead().empty()) return;
+            crashing_servers[index]->StopListening();
+            caller.Reset();
+          }));
+      fixture_.AddServer("i-" + std::to_string(number), crashing_servers.back()->endpoint());
     }
   }
-  /// Each try comes later than what the one before has shown.
-  unsigned Try(const std::string& request, const std::string& from, std::string* answer = nullptr) {
+  /// Sends a request and waits until the evidence of this attempt has been processed.
+  unsigned SendAndWait(const std::string& request, const std::string& from,
+                       std::string* answer = nullptr) {
     const std::string got = fixture_.Exchange(request, "", from);
     std::this_thread::sleep_for(milliseconds(100));
     if (answer != nullptr) *answer = got;
     return PipelineFixture::Status(got);
   }
 
-  std::vector<std::unique_ptr<ScriptedServer>> ending;
+  std::vector<std::unique_ptr<ScriptedServer>> crashing_servers;
 
  private:
   PipelineFixture& fixture_;
 };
 
-bool Suspected(PipelineFixture& fixture, const std::string& body) {
+bool IsSuspected(PipelineFixture& fixture, const std::string& body) {
   quarantine::QuarantineState standing{};
   const Fingerprint fingerprint = FingerprintOf({"h", "/p/x", "", body});
   fixture.OnThread([&] { standing = fixture.quarantine().StateFor(fingerprint, ""); });
   return standing != quarantine::QuarantineState::kClear;
 }
 
-TEST_CASE("Tries of one request are known as such from whatever address they come") {
+TEST_CASE("Retries of a request are recognized from any client address") {
   PipelineFixture fixture;
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
-  EndingServers servers(fixture, 2);
+  CrashingServers servers(fixture, 2);
   const std::string request = Post("the same each time");
-  for (const char* from : {"127.0.0.1", "127.0.0.2"}) CHECK(servers.Try(request, from) == 502);
+  for (const char* from : {"127.0.0.1", "127.0.0.2"})
+    CHECK(servers.SendAndWait(request, from) == 502);
   std::atomic<int> reached{0};
-  ScriptedServer sound([&](ScriptedConnection& caller) {
+  ScriptedServer healthy_server([&](ScriptedConnection& caller) {
     while (!caller.ReadHead().empty()) {
       ++reached;
       caller.Write(
@@ -65,41 +68,41 @@
           "Connection: close\r\n\r\n");
     }
   });
-  fixture.AddServer("i-9", sound.endpoint());
+  fixture.AddServer("i-9", healthy_server.endpoint());
   std::string answer;
-  CHECK(servers.Try(request, "127.0.0.4", &answer) == 503);
+  CHECK(servers.SendAndWait(request, "127.0.0.4", &answer) == 503);
   CHECK(answer.find("\"code\":\"quarantined\"") != std::string::npos);
   CHECK(answer.find("\"executed\":\"no\"") != std::string::npos);
   CHECK(answer.find("Retry-After") == std::string::npos);
   CHECK(reached == 0);
-  CHECK(servers.Try(Post("another body"), "127.0.0.1") == 200);
+  CHECK(servers.SendAndWait(Post("another body"), "127.0.0.1") == 200);
   CHECK(reached == 1);
 }
 
-TEST_CASE("Only a whole success shows that a request does not end servers") {
+TEST_CASE("Only a complete successful response clears a suspected request") {
   PipelineFixture fixture;
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   const std::string request = Post("the same each time");
   std::atomic<int> status{504};
-  ScriptedServer sound([&](ScriptedConnection& caller) {
+  ScriptedServer healthy_server([&](ScriptedConnection& caller) {
     while (!caller.ReadHead().empty())
       caller.Write("HTTP/1.1 " + std::to_string(status) +
                    " x\r\nX-Response-Seal: s1\r\nX-Request-Id: one\r\nContent-Length: 0\r\n"
                    "Connection: close\r\n\r\n");
   });
-  EndingServers servers(fixture, 1);
-  CHECK(servers.Try(request, "127.0.0.1") == 502);
-  fixture.AddServer("i-9", sound.endpoint());
-  CHECK(servers.Try(request, "127.0.0.1") == 504);
-  CHECK(Suspected(fixture, "the same each time"));
+  CrashingServers servers(fixture, 1);
+  CHECK(servers.SendAndWait(request, "127.0.0.1") == 502);
+  fixture.AddServer("i-9", healthy_server.endpoint());
+  CHECK(servers.SendAndWait(request, "127.0.0.1") == 504);
+  CHECK(IsSuspected(fixture, "the same each time"));
   status = 200;
-  CHECK(servers.Try(request, "127.0.0.1") == 200);
-  CHECK_FALSE(Suspected(fixture, "the same each time"));
+  CHECK(servers.SendAndWait(request, "127.0.0.1") == 200);
+  CHECK_FALSE(IsSuspected(fixture, "the same each time"));
 }
 
-TEST_CASE("The operator sees what is quarantined and lets it run again") {
+TEST_CASE("The operator can list and release quarantined requests") {
   PipelineFixture fixture;
-  const Fingerprint guilty = FingerprintOf({"h", "/p/x", "", "guilty"});
+  const Fingerprint crashing_request = FingerprintOf({"h", "/p/x", "", "guilty"});
   const auto call = [&](const std::string& method, const std::string& target) {
     HttpResponse response;
     fixture.OnThread([&] {
@@ -110,12 +113,12 @@
   CHECK(call("GET", "/quarantine").body.empty());
   fixture.OnThread([&] {
     for (const char* server : {"i-1", "i-2", "i-3"}) {
-      fixture.quarantine().Note(quarantine::LinkEnded{guilty, "s", server, "v1"});
+      fixture.quarantine().Note(quarantine::LinkEnded{crashing_request, "s", server, "v1"});
       fixture.quarantine().Note(quarantine::ServerEnded{server});
     }
   });
   const std::string row = call("GET", "/quarantine").body;
-  CHECK(row.starts_with(ToString(guilty) + " s 3 5"));
+  CHECK(row.starts_with(ToString(crashing_request) + " s 3 5"));
   CHECK(row.ends_with(" v1\n"));
   struct Case {
     const char* method;
@@ -126,7 +129,8 @@
   const std::vector<Case> mistakes = {
       {"POST", "/quarantine/release/zz", 400, "32 hexadecimal digits"},
       {"POST", "/quarantine/release/" + std::string(32, '0'), 404, "look at the list again"},
-      {"GET", "/quarantine/release/" + ToString(guilty), 404, "POST /quarantine/release/"},
+      {"GET", "/quarantine/release/" + ToString(crashing_request), 404,
+       "POST /quarantine/release/"},
       {"GET", "/quarantines", 404, "GET /quarantine lists"}};
   for (const Case& mistake : mistakes) {
     CAPTURE(mistake.target);
@@ -134,7 +138,7 @@
     CHECK(response.status == mistake.status);
     CHECK(response.body.find(mistake.remedy) != std::string::npos);
   }
-  CHECK(call("POST", "/quarantine/release/" + ToString(guilty)).status == 200);
+  CHECK(call("POST", "/quarantine/release/" + ToString(crashing_request)).status == 200);
   CHECK(call("GET", "/quarantine").body.empty());
 }
 
--- a/test/server_limits/limited_server_test.cc
+++ b/test/server_limits/limited_server_test.cc
@@ -1,4 +1,4 @@
-// Servers that name a limit, before several whole gateways, over loopback.
+// Servers that state a rate limit, behind several complete gateways over loopback.
 
 #include "gateway_deployment.h"
 
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// Gateways under steady load, whose first plain server names a limit.
+/// Gateways under steady load; the first plain server states a limit.
 struct LimitedDeployment {
   explicit LimitedDeployment(int gateways, int plain_servers = 3)
       : deployment(gateways, Options(gateways, plain_servers)) {
@@ -41,7 +41,7 @@
   Deployment deployment;
 };
 
-TEST_CASE("All daemons together send a server that names a limit no more than that") {
+TEST_CASE("All daemons together stay within the limit that a server states") {
   const int gateways = GENERATE(2, 6);
   const double limit = GENERATE(1.0, 6.0);
   CAPTURE(gateways, limit);
--- a/test/server_limits/permit_model_test.cc
+++ b/test/server_limits/permit_model_test.cc
@@ -1,5 +1,6 @@
-// Many daemons before one server that names a limit, in virtual time: the shipped pool, own turns
-// and standing, over a network that delays and loses, with leaders that go and come.
+// Simulates many daemons that share one server with a rate limit, in virtual time. Uses the
+// production PermitAllocator, FallbackPermits and ServerStanding over a network that delays and
+// loses messages, with changing leaders.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -22,31 +23,31 @@
 using std::chrono::milliseconds;
 
 const Time kStart{std::chrono::hours(1)};
-constexpr milliseconds kContact{3'000};
-constexpr milliseconds kToldFor{500};
-constexpr double kFreeRequests = 5;
-constexpr milliseconds kAskSilentAgain{500};
-constexpr milliseconds kOwnTurnPause{100};
+constexpr milliseconds kStartupTime{3'000};
+constexpr milliseconds kLimitKnownDelay{500};
+constexpr double kAllowedExcess = 5;
+constexpr milliseconds kUnresponsiveLeaderPause{500};
+constexpr milliseconds kFallbackRetryPause{100};
 
-struct Trouble {
+struct Faults {
   double loss = 0;
-  bool leaders_change = false;  ///< Killed, and followed by another 3 s later.
-  bool two_leaders = false;     ///< Half of the daemons go on with a leader that lost its lease.
-  bool all_restart = false;
-  bool nobody_leads = false;
+  bool leaders_change = false;  ///< The leader is killed; another one takes over 3 s later.
+  bool two_leaders = false;  ///< Half of the daemons keep following a leader that lost its lease.
+  bool restart_all = false;
+  bool no_leader = false;
 };
 
 class Model {
  public:
-  Model(std::uint64_t seed, int daemons, double limit, double wanted_per_second, Trouble trouble)
-      : random_(seed), limit_(limit), trouble_(trouble), wanted_(wanted_per_second) {
-    for (int number = 0; number < daemons; ++number) daemons_.push_back(Fresh(number));
+  Model(std::uint64_t seed, int daemons, double limit, double wanted_per_second, Faults faults)
+      : random_(seed), limit_(limit), faults_(faults), demand_per_second_(wanted_per_second) {
+    for (int number = 0; number < daemons; ++number) daemons_.push_back(MakeDaemon(number));
     for (int number = 0; number < daemons; ++number)
-      Later(Draw(1'000), [this, number] { Want(number); });
-    if (trouble_.leaders_change) Later(milliseconds(6'000), [this] { KillLeader(); });
-    if (trouble_.two_leaders) Later(milliseconds(5'000), [this] { SplitLeaders(); });
-    if (trouble_.all_restart) Later(milliseconds(9'000), [this] { RestartAll(); });
-    if (trouble_.nobody_leads) leader_ = -1;
+      Schedule(Draw(1'000), [this, number] { ArriveRequest(number); });
+    if (faults_.leaders_change) Schedule(milliseconds(6'000), [this] { KillLeader(); });
+    if (faults_.two_leaders) Schedule(milliseconds(5'000), [this] { SplitLeaders(); });
+    if (faults_.restart_all) Schedule(milliseconds(9'000), [this] { RestartAll(); });
+    if (faults_.no_leader) leader_ = -1;
   }
 
   void Run(milliseconds time) {
@@ -71,12 +72,12 @@
  private:
   struct Daemon {
     ServerStanding standing;
-    std::optional<Time> told_at;
+    std::optional<Time> limit_learned_at;
     Time at_limit_until{};
-    Time silent_until{};
-    FallbackPermits own{0};
-    PermitAllocator pool;
-    int leader = 0;  ///< As it knows.
+    Time leader_unresponsive_until{};
+    FallbackPermits fallback{0};
+    PermitAllocator allocator;
+    int leader = 0;  ///< The leader known to this daemon.
     int life = 0;
   };
   struct Event {
@@ -88,9 +89,9 @@
     }
   };
 
-  Daemon Fresh(int number) {
+  Daemon MakeDaemon(int number) {
     Daemon daemon;
-    daemon.own = FallbackPermits(random_() + static_cast<std::uint64_t>(number));
+    daemon.fallback = FallbackPermits(random_() + static_cast<std::uint64_t>(number));
     daemon.leader = leader_;
     return daemon;
   }
@@ -98,7 +99,7 @@
     return microseconds(std::uniform_int_distribution<int>(0, most_ms * 1000)(random_));
   }
   bool Chance(double share) { return std::bernoulli_distribution(share)(random_); }
-  void Later(BootClock::duration after, std::function<void()> action) {
+  void Schedule(BootClock::duration after, std::function<void()> action) {
     events_.push({now_ + after, next_event_++, std::move(action)});
   }
 
@@ -108,10 +109,10 @@
   }
   void KillLeader() {
     leader_ = -1;
-    Later(milliseconds(3'000), [this] {
+    Schedule(milliseconds(3'000), [this] {
       leader_ = static_cast<int>(random_() % daemons_.size());
       for (Daemon& daemon : daemons_) daemon.leader = leader_;
-      Later(milliseconds(4'000), [this] { KillLeader(); });
+      Schedule(milliseconds(4'000), [this] { KillLeader(); });
     });
   }
   void SplitLeaders() {
@@ -123,32 +124,32 @@
   void RestartAll() {
     for (std::size_t number = 0; number < daemons_.size(); ++number) {
       const int life = daemons_[number].life + 1;
-      daemons_[number] = Fresh(static_cast<int>(number));
+      daemons_[number] = MakeDaemon(static_cast<int>(number));
       daemons_[number].life = life;
     }
   }
 
-  /// A request comes for which the server would be chosen.
-  void Want(int number) {
+  /// A request arrives for which the limited server would be selected.
+  void ArriveRequest(int number) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
-    const double mean_s = static_cast<double>(daemons_.size()) / wanted_;
+    const double mean_s = static_cast<double>(daemons_.size()) / demand_per_second_;
     const double pause = std::exponential_distribution<double>(1 / mean_s)(random_);
-    Later(std::chrono::duration_cast<BootClock::duration>(std::chrono::duration<double>(pause)),
-          [this, number] { Want(number); });
+    Schedule(std::chrono::duration_cast<BootClock::duration>(std::chrono::duration<double>(pause)),
+             [this, number] { ArriveRequest(number); });
     if (!daemon.standing.limit_per_second) {
       Send(number);
       return;
     }
-    if (now_ >= daemon.at_limit_until) Ask(number);
+    if (now_ >= daemon.at_limit_until) RequestPermit(number);
   }
-  void Ask(int number) {
+  void RequestPermit(int number) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
     const int leader = daemon.leader;
-    if (leader < 0 || now_ < daemon.silent_until) {
-      TakeOwnTurn(number);
+    if (leader < 0 || now_ < daemon.leader_unresponsive_until) {
+      TryFallbackPermit(number);
       return;
     }
-    const PermitRequest question{
+    const PermitRequest request{
         std::chrono::duration_cast<microseconds>(now_.time_since_epoch()).count(),
         "i",
         0,
@@ -157,141 +158,143 @@
         std::chrono::duration_cast<microseconds>(now_ - daemon.standing.limit_as_of).count(),
         0};
     const int life = daemon.life;
-    const auto answered = std::make_shared<bool>(false);
-    Later(kAnswerTimeout, [this, number, life, answered] {
+    const auto completed = std::make_shared<bool>(false);
+    Schedule(kAnswerTimeout, [this, number, life, completed] {
       Daemon& asker = daemons_[static_cast<std::size_t>(number)];
-      if (*answered || asker.life != life) return;
-      *answered = true;
-      asker.silent_until = now_ + kAskSilentAgain;
-      TakeOwnTurn(number);
+      if (*completed || asker.life != life) return;
+      *completed = true;
+      asker.leader_unresponsive_until = now_ + kUnresponsiveLeaderPause;
+      TryFallbackPermit(number);
     });
-    if (Chance(trouble_.loss)) return;
-    Later(Draw(10), [this, number, life, answered, question, leader] {
-      Daemon& pool = daemons_[static_cast<std::size_t>(leader)];
-      if (leader_ < 0) return;  // Killed.
-      const PermitResponse answer = pool.pool.Answer(question, RoleOf(leader), now_);
-      if (Chance(trouble_.loss)) return;
-      Later(Draw(10), [this, number, life, answered, answer] {
-        if (*answered || daemons_[static_cast<std::size_t>(number)].life != life) return;
-        *answered = true;
-        TakeAnswer(number, answer);
+    if (Chance(faults_.loss)) return;
+    Schedule(Draw(10), [this, number, life, completed, request, leader] {
+      Daemon& allocator = daemons_[static_cast<std::size_t>(leader)];
+      if (leader_ < 0) return;  // The leader has been killed.
+      const PermitResponse response = allocator.allocator.Allocate(request, RoleOf(leader), now_);
+      if (Chance(faults_.loss)) return;
+      Schedule(Draw(10), [this, number, life, completed, response] {
+        if (*completed || daemons_[static_cast<std::size_t>(number)].life != life) return;
+        *completed = true;
+        HandleResponse(number, response);
       });
     });
   }
-  void TakeAnswer(int number, const PermitResponse& answer) {
+  void HandleResponse(int number, const PermitResponse& response) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
-    if (answer.verdict == PermitVerdict::kNotAllocator) {
-      daemon.silent_until = now_ + kAskSilentAgain;
-      TakeOwnTurn(number);
-    } else if (answer.verdict == PermitVerdict::kDenied) {
-      daemon.at_limit_until = now_ + microseconds(answer.wait_us);
+    if (response.verdict == PermitVerdict::kNotAllocator) {
+      daemon.leader_unresponsive_until = now_ + kUnresponsiveLeaderPause;
+      TryFallbackPermit(number);
+    } else if (response.verdict == PermitVerdict::kDenied) {
+      daemon.at_limit_until = now_ + microseconds(response.wait_us);
     } else {
-      if (answer.verdict == PermitVerdict::kUnlimited) daemon.standing.limit_per_second.reset();
+      if (response.verdict == PermitVerdict::kUnlimited) daemon.standing.limit_per_second.reset();
       Send(number);
     }
   }
-  void TakeOwnTurn(int number) {
+  void TryFallbackPermit(int number) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
     const auto fleet = static_cast<std::uint32_t>(daemons_.size());
     if (!daemon.standing.limit_per_second) return;
-    if (daemon.own.Take("i", *daemon.standing.limit_per_second, fleet, now_))
+    if (daemon.fallback.TryAcquire("i", *daemon.standing.limit_per_second, fleet, now_))
       Send(number);
     else
-      daemon.at_limit_until = now_ + kOwnTurnPause;
+      daemon.at_limit_until = now_ + kFallbackRetryPause;
   }
   void Send(int number) {
     const Time sent_at = now_;
-    Later(Draw(20), [this, number, sent_at] {
+    Schedule(Draw(20), [this, number, sent_at] {
       ++sent_;
       Count(number);
       ServerStatement statement;
       statement.limit_per_second = limit_;
       const int life = daemons_[static_cast<std::size_t>(number)].life;
-      Later(Draw(300), [this, number, life, sent_at, statement] {
+      Schedule(Draw(300), [this, number, life, sent_at, statement] {
         Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
         if (daemon.life != life) return;
         const bool limited = daemon.standing.limit_per_second.has_value();
         daemon.standing.Take(statement, sent_at, now_, true);
-        if (statement.limit_per_second && !daemon.told_at) daemon.told_at = now_;
+        if (statement.limit_per_second && !daemon.limit_learned_at) daemon.limit_learned_at = now_;
         if (limited && !daemon.standing.limit_per_second) ReportLimitRemoved(number);
       });
     });
   }
   void ReportLimitRemoved(int number) {
     const int leader = daemons_[static_cast<std::size_t>(number)].leader;
-    if (leader < 0 || Chance(trouble_.loss)) return;
-    Later(Draw(10), [this, leader] {
-      daemons_[static_cast<std::size_t>(leader)].pool.Answer({0, "i", 0, false, 0, 0, -1},
-                                                             RoleOf(leader), now_);
+    if (leader < 0 || Chance(faults_.loss)) return;
+    Schedule(Draw(10), [this, leader] {
+      daemons_[static_cast<std::size_t>(leader)].allocator.Allocate({0, "i", 0, false, 0, 0, -1},
+                                                                    RoleOf(leader), now_);
     });
   }
-  /// Counts a request at the server against what it has named, as the promise says.
+  /// Counts a request that reaches the server and compares the total with the limit that the server
+  /// has stated and the allowed overshoot.
   void Count(int number) {
     const Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
-    const bool told = daemon.told_at && now_ - *daemon.told_at >= kToldFor;
-    if (!limit_ || !told || now_ < kStart + kContact) return;
-    arrivals_.push_back(now_);
-    while (arrivals_.front() <= now_ - kLimitWindow) arrivals_.pop_front();
+    const bool limit_known =
+        daemon.limit_learned_at && now_ - *daemon.limit_learned_at >= kLimitKnownDelay;
+    if (!limit_ || !limit_known || now_ < kStart + kStartupTime) return;
+    recent_arrivals_.push_back(now_);
+    while (recent_arrivals_.front() <= now_ - kLimitWindow) recent_arrivals_.pop_front();
     const double seconds = std::chrono::duration<double>(kLimitWindow).count();
-    const double allowed = kMaxOvershootFactor * *limit_ * seconds + kFreeRequests;
-    worst_excess_ = std::max(worst_excess_, static_cast<double>(arrivals_.size()) - allowed);
+    const double allowed = kMaxOvershootFactor * *limit_ * seconds + kAllowedExcess;
+    worst_excess_ = std::max(worst_excess_, static_cast<double>(recent_arrivals_.size()) - allowed);
   }
 
   std::mt19937_64 random_;
   std::optional<double> limit_;
-  Trouble trouble_;
-  double wanted_;
+  Faults faults_;
+  double demand_per_second_;
   Time now_ = kStart;
   std::priority_queue<Event> events_;
   std::uint64_t next_event_ = 0;
   std::vector<Daemon> daemons_;
   int leader_ = 0;
   int deputy_ = -1;
-  std::deque<Time> arrivals_;
+  std::deque<Time> recent_arrivals_;
   int sent_ = 0;
   double worst_excess_ = -1e9;
 };
 
-constexpr milliseconds kDay{40'000};
+constexpr milliseconds kRunTime{40'000};
 
-TEST_CASE("However many daemons share a limit, and whatever befalls them, its sum holds") {
+TEST_CASE("The total rate stays within the limit for any number of daemons and under faults") {
   const int daemons = GENERATE(2, 6, 40, 300);
   const double limit = GENERATE(0.5, 1.0, 12.0);
-  const std::vector<Trouble> troubles = {{},
-                                         {.loss = 0.1},
-                                         {.leaders_change = true},
-                                         {.two_leaders = true},
-                                         {.loss = 0.1, .two_leaders = true, .all_restart = true},
-                                         {.leaders_change = true, .all_restart = true},
-                                         {.nobody_leads = true}};
-  for (std::size_t kind = 0; kind < troubles.size(); ++kind)
+  const std::vector<Faults> fault_sets = {{},
+                                          {.loss = 0.1},
+                                          {.leaders_change = true},
+                                          {.two_leaders = true},
+                                          {.loss = 0.1, .two_leaders = true, .restart_all = true},
+                                          {.leaders_change = true, .restart_all = true},
+                                          {.no_leader = true}};
+  for (std::size_t kind = 0; kind < fault_sets.size(); ++kind)
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       CAPTURE(daemons, limit, kind, seed);
-      Model model(seed, daemons, limit, 6 * limit + daemons, troubles[kind]);
-      model.Run(kDay);
+      Model model(seed, daemons, limit, 6 * limit + daemons, fault_sets[kind]);
+      model.Run(kRunTime);
       CHECK(model.worst_excess() <= 0);
     }
 }
 
-TEST_CASE("A limited server gets most of what it takes, whichever daemons want it") {
+TEST_CASE("A limited server receives most of the rate it allows, however many daemons share it") {
   const int daemons = GENERATE(2, 6, 40, 300);
   const double limit = GENERATE(1.0, 12.0);
   CAPTURE(daemons, limit);
   Model model(3, daemons, limit, 4 * limit + daemons, {});
   model.Run(milliseconds(10'000));
   const int before = model.sent();
-  model.Run(kDay);
-  const double seconds = std::chrono::duration<double>(kDay).count();
+  model.Run(kRunTime);
+  const double seconds = std::chrono::duration<double>(kRunTime).count();
   CHECK(model.sent() - before >= 0.75 * limit * seconds);
 }
 
-TEST_CASE("When a server names its limit no more, all daemons hear of it soon") {
+TEST_CASE("When a server removes its limit, all daemons learn of it soon") {
   const int daemons = GENERATE(2, 6, 40, 300);
   CAPTURE(daemons);
   Model model(5, daemons, 1.0, 4.0 + daemons, {.loss = 0.05});
   model.Run(milliseconds(10'000));
   model.EndLimit();
-  // Each wants to send about once a second; who sends nothing hears nothing.
+  // Each daemon sends about one request per second; a daemon that sends nothing learns nothing.
   model.Run(milliseconds(12'000));
   CHECK(model.StillLimited() == 0);
 }
--- a/test/server_limits/server_standing_test.cc
+++ b/test/server_limits/server_standing_test.cc
@@ -25,21 +25,21 @@
   return record;
 }
 
-TEST_CASE("A limit holds until an answer to a later request names none") {
+TEST_CASE("A limit holds until a response to a later request states none") {
   ServerStanding standing;
   CHECK(standing.Take(Limit(2), kStart, kStart + milliseconds(50), false));
   CHECK(standing.limit_per_second == 2.0);
-  // Sent before the limit was heard: its answer may have been made before that, too.
+  // Sent before the limit was learned, so its response may predate the limit.
   CHECK_FALSE(standing.Take({}, kStart + milliseconds(40), kStart + milliseconds(60), true));
   CHECK(standing.limit_per_second == 2.0);
-  // A refusal or an answer to an order need not name it.
+  // A refusal or a response to an order need not state the limit.
   CHECK_FALSE(standing.Take({}, kStart + milliseconds(70), kStart + milliseconds(80), false));
   CHECK(standing.limit_per_second == 2.0);
   CHECK(standing.Take({}, kStart + milliseconds(70), kStart + milliseconds(80), true));
   CHECK_FALSE(standing.limit_per_second.has_value());
 }
 
-TEST_CASE("What a server has said outlives new entries of the same life, and ends with it") {
+TEST_CASE("A stated limit survives new records of the same server incarnation and ends with it") {
   ServerDirectory directory;
   directory.Put(Record(7), kStart);
   directory.Find("i-1")->TakeStatement(Limit(1), kStart, kStart, true);
