--- a/src/quarantine/crash_tracker.cc
+++ b/src/quarantine/crash_tracker.cc
@@ -71,8 +71,8 @@
   unconfirmed_links_.erase(unconfirmed);
   for (const Fingerprint& fingerprint : affected) {
     const auto existing = cases_.find(fingerprint);
-    if (existing == cases_.end())
-      continue;  // Evicted to make room for another case of the same server.
+    // The case may have been evicted to make room for another one of the same server.
+    if (existing == cases_.end()) continue;
     Case& tracked = existing->second;
     effects.updated_cases.push_back(fingerprint);
     effects.changes.push_back(
@@ -441,14 +441,14 @@
   return listed;
 }
 
-std::vector<Fingerprint> CrashTracker::NextCasesToSync(std::size_t most,
+std::vector<Fingerprint> CrashTracker::NextCasesToSync(std::size_t max_count,
                                                        std::size_t& cursor) const {
   std::vector<Fingerprint> all;
   for (const auto& [fingerprint, tracked] : cases_)
     if (tracked.digest_part != 0) all.push_back(fingerprint);
   std::sort(all.begin(), all.end());
   std::vector<Fingerprint> some;
-  for (std::size_t taken = 0; taken < std::min(most, all.size()); ++taken)
+  for (std::size_t taken = 0; taken < std::min(max_count, all.size()); ++taken)
     some.push_back(all[cursor++ % all.size()]);
   return some;
 }
--- a/src/quarantine/crash_tracker.h
+++ b/src/quarantine/crash_tracker.h
@@ -72,8 +72,8 @@
 
 /// State of a request for servers of one software version.
 enum class QuarantineState : std::uint8_t {
-  kClear,    ///< No evidence against the request.
-  kSuspect,  ///< A server crashed while running it; other requests on that server may be the cause.
+  kClear,       ///< No evidence against the request.
+  kSuspect,     ///< A server crashed while running it; the cause is not proven.
   kUndecided,   ///< Near the threshold; evidence from other daemons may still arrive.
   kQuarantined  ///< Servers crash under it; the request is refused.
 };
@@ -131,8 +131,8 @@
 struct Effects {
   /// Cases with new evidence, to be sent to other daemons.
   std::vector<Fingerprint> updated_cases;
-  std::vector<std::string>
-      servers_to_probe;  ///< Servers that may have crashed and are to be probed.
+  /// Servers that may have crashed and are to be probed.
+  std::vector<std::string> servers_to_probe;
   std::vector<CaseChange> changes;
   std::size_t dropped = 0;  ///< Cases that were invalid or for which there was no room.
 };
@@ -169,9 +169,9 @@
   /// hold a clearance. Equal sets of such cases give equal digests; daemons whose digests differ
   /// exchange cases.
   std::uint64_t Digest() const { return digest_; }
-  /// @return up to `most` cases that count in the digest. Each call continues round-robin from
+  /// @return up to `max_count` cases that count in the digest. Each call continues round-robin from
   /// `cursor`.
-  std::vector<Fingerprint> NextCasesToSync(std::size_t most, std::size_t& cursor) const;
+  std::vector<Fingerprint> NextCasesToSync(std::size_t max_count, std::size_t& cursor) const;
   std::size_t quarantined() const { return quarantined_; }
   std::size_t size() const { return cases_.size(); }
 
@@ -233,8 +233,8 @@
 
   Settings settings_;
   CaseMap cases_;
-  std::unordered_map<std::string, std::vector<UnconfirmedLink>>
-      unconfirmed_links_;  ///< Keyed by server ID.
+  /// Keyed by server ID.
+  std::unordered_map<std::string, std::vector<UnconfirmedLink>> unconfirmed_links_;
   std::size_t unconfirmed_link_count_ = 0;
   /// For each crashed server, the cases that were running on it.
   std::unordered_map<std::string, std::vector<Fingerprint>> cases_by_server_;
--- a/src/quarantine/quarantine_service.h
+++ b/src/quarantine/quarantine_service.h
@@ -50,7 +50,7 @@
     std::function<void(const QuarantineNotice& notice)> broadcast;
     /// @return "IP:PORT" of the leader if it is another daemon.
     std::function<std::optional<std::string>()> leader;
-    /// @return "IP:PORT" of the other known daemons.
+    /// @return "IP:PORT" of each other known daemon.
     std::function<std::vector<std::string>()> peers;
     std::function<std::optional<Endpoint>(const std::string& server_id)> server;
     std::function<bool(const std::string& service)> service_exists;
--- a/src/server_limits/limit_shares.h
+++ b/src/server_limits/limit_shares.h
@@ -21,12 +21,12 @@
 /// A request that was granted a permit is sent within this time.
 inline constexpr milliseconds kPermitLifetime{150};
 /// Timeout for a response to a permit request.
-inline constexpr milliseconds kAnswerTimeout{120};
+inline constexpr milliseconds kResponseTimeout{120};
 
 // All shares together, over a window plus the permits granted just before it, must stay within the
 // guaranteed maximum.
 static_assert((kLeaderShare + kDeputyShare + kFallbackShare) *
-                  (kLimitWindow + kPermitLifetime + kAnswerTimeout).count() <=
+                  (kLimitWindow + kPermitLifetime + kResponseTimeout).count() <=
               kMaxOvershootFactor * static_cast<double>(kLimitWindow.count()));
 
 /// Bounds on the delay after which a daemon that was denied asks again. The upper bound exists
--- a/src/server_limits/permit_allocator.cc
+++ b/src/server_limits/permit_allocator.cc
@@ -58,7 +58,7 @@
   const bool had_limit = entry.limit_per_second.has_value();
   entry.stated_at = stated_at;
   entry.limit_per_second = request.limited ? std::optional(request.limit_per_second) : std::nullopt;
-  // A previous leader may just have granted permits.
+  // A previous leader may just have granted permits, so the first one is due after an interval.
   if (request.limited && !had_limit) entry.next_permit_at = now + PermitInterval(entry, role);
   return entry;
 }
--- a/src/server_limits/permit_messages.h
+++ b/src/server_limits/permit_messages.h
@@ -8,8 +8,8 @@
 /// Asks the daemon that allocates permits (the leader) whether a request may be sent to a server
 /// now. May be lost.
 struct PermitRequest {
-  std::int64_t asked_at_us =
-      0;  ///< Clock of the sender; copied into the response to match it to the request.
+  /// Time by the sender's clock; copied into the response to match it to the request.
+  std::int64_t asked_at_us = 0;
   std::string server_id;
   std::int64_t life = 0;  ///< Incarnation of the server, as in ServerRecord.
   bool limited = true;    ///< False if the server no longer states a limit.
@@ -28,9 +28,9 @@
 };
 
 enum class PermitVerdict : std::uint8_t {
-  kGranted,    ///< The request may be sent once `wait_us` has passed, and only shortly after that.
-  kDenied,     ///< All permits within the maximum wait are taken.
-  kUnlimited,  ///< The server no longer states a limit.
+  kGranted,      ///< The request may be sent once `wait_us` has passed, but not much later.
+  kDenied,       ///< All permits within the maximum wait are taken.
+  kUnlimited,    ///< The server no longer states a limit.
   kNotAllocator  ///< This daemon does not allocate permits.
 };
 
@@ -38,8 +38,8 @@
 struct PermitResponse {
   std::int64_t asked_at_us = 0;  ///< Copied from the request.
   PermitVerdict verdict = PermitVerdict::kNotAllocator;
-  std::int64_t wait_us =
-      0;  ///< Time until the permit is valid, or until it makes sense to ask again.
+  /// Time until the permit is valid, or until it makes sense to ask again.
+  std::int64_t wait_us = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -58,7 +58,7 @@
   const std::int64_t id = request.asked_at_us;
   pending_[id].reset();
   ports_.ask(leader, request);
-  const Time deadline = asked_at + limits::kAnswerTimeout;
+  const Time deadline = asked_at + limits::kResponseTimeout;
   while (!pending_[id] && BootClock::now() < deadline) co_await response_arrived_.Wait(deadline);
   std::optional<PermitResponse> response = pending_[id];
   pending_.erase(id);
--- a/src/server_limits/permit_service.h
+++ b/src/server_limits/permit_service.h
@@ -20,9 +20,10 @@
 /// allocator responds. Not thread-safe.
 class PermitService {
  public:
+  /// Functions through which the service reaches the rest of the daemon.
   struct Ports {
     std::function<void(const std::string& to, const PermitRequest& request)> ask;
-    std::function<void(const std::string& to, const PermitResponse& answer)> answer;
+    std::function<void(const std::string& to, const PermitResponse& response)> answer;
     /// @return "IP:PORT" of the known leader; empty if there is none.
     std::function<std::string()> leader;
     std::function<limits::AllocatorRole()> role;
@@ -45,7 +46,7 @@
 
   /// Handles a message of another daemon. @param from "IP:PORT" of the sender.
   void Hear(const PermitRequest& request, const std::string& from);
-  void Hear(const PermitResponse& answer, const std::string& from);
+  void Hear(const PermitResponse& response, const std::string& from);
 
  private:
   using Time = BootClock::time_point;
@@ -65,8 +66,8 @@
   /// Pending permit requests, keyed by their asked_at_us.
   std::map<std::int64_t, std::optional<PermitResponse>> pending_;
   std::int64_t last_asked_us_ = 0;
-  Time leader_unresponsive_until_{};  ///< The leader has not responded recently and is not asked
-                                      ///< before this time.
+  /// The leader has not responded recently and is not asked before this time.
+  Time leader_unresponsive_until_{};
 };
 
 }  // namespace moorfold
--- a/test/quarantine/crash_tracker_test.cc
+++ b/test/quarantine/crash_tracker_test.cc
@@ -60,22 +60,22 @@
   CHECK(fixture.StateOf("crasher") == QuarantineState::kSuspect);
   fixture.Crash("i-2", {"crasher", "a"});
   fixture.Advance(seconds(1));
-  CHECK(fixture.StateOf("crasher") ==
-        QuarantineState::kSuspect);  // Request "a" ran on both servers as well.
+  // Request "a" ran on both servers as well.
+  CHECK(fixture.StateOf("crasher") == QuarantineState::kSuspect);
   fixture.Crash("i-3", {"crasher", "b"});
   CHECK(fixture.StateOf("crasher") == QuarantineState::kQuarantined);
   CHECK(fixture.StateOf("a") == QuarantineState::kSuspect);
   fixture.Advance(seconds(1));
-  CHECK(fixture.StateOf("a") ==
-        QuarantineState::kSuspect);  // The quarantined request explains both crashes.
+  // The quarantined request explains both crashes.
+  CHECK(fixture.StateOf("a") == QuarantineState::kSuspect);
 }
 
 TEST_CASE("Two crashed servers quarantine a request if no other request ran on both of them") {
   TrackerFixture fixture;
   fixture.Crash("i-1", {"crasher", "a"});
   fixture.Crash("i-2", {"crasher", "b"});
-  CHECK(fixture.StateOf("crasher") ==
-        QuarantineState::kUndecided);  // Evidence about other requests may still arrive.
+  // Evidence about other requests may still arrive.
+  CHECK(fixture.StateOf("crasher") == QuarantineState::kUndecided);
   fixture.Advance(milliseconds(300));
   CHECK(fixture.StateOf("crasher") == QuarantineState::kQuarantined);
   CHECK(fixture.StateOf("a") == QuarantineState::kSuspect);
@@ -85,14 +85,14 @@
 TEST_CASE("A closed connection counts as a crash only once its server is shown to have ended") {
   TrackerFixture fixture;
   for (const char* server : {"i-1", "i-2", "i-3"}) {
-    const auto looked_at =
+    const auto probed =
         fixture.Apply(LinkEnded{FingerprintOfBody("x"), "s", server, kV1}).servers_to_probe;
-    CHECK(looked_at == std::vector<std::string>{server});
+    CHECK(probed == std::vector<std::string>{server});
   }
   CHECK_FALSE(fixture.tracker.HasCase(FingerprintOfBody("x")));
   fixture.now += milliseconds(1);
-  fixture.Apply(ServerAnswered{
-      "i-1", fixture.now});  // The server is running, so only the connection was cut.
+  // The server is running, so only the connection was cut.
+  fixture.Apply(ServerAnswered{"i-1", fixture.now});
   fixture.Apply(ServerEnded{"i-1"});
   CHECK_FALSE(fixture.tracker.HasCase(FingerprintOfBody("x")));
   // A request sent before the connection closed may have been answered before the crash.
@@ -165,8 +165,8 @@
   const Effects reported_back = two.Apply(CasesReceived{exported});
   CHECK(reported_back.updated_cases.size() == 2);
   CHECK(two.StateOf("crasher") == QuarantineState::kQuarantined);
-  CHECK(two.Apply(CasesReceived{exported})
-            .updated_cases.empty());  // The second delivery changes nothing.
+  // The second delivery changes nothing.
+  CHECK(two.Apply(CasesReceived{exported}).updated_cases.empty());
   one.Apply(CasesReceived{exported_back});
   one.Apply(CasesReceived{exported_back});
   CHECK(one.StateOf("crasher") == QuarantineState::kQuarantined);
@@ -188,19 +188,19 @@
 
 TEST_CASE("Invalid, oversized or future updates are dropped and counted, never applied in part") {
   TrackerFixture fixture;
-  const CaseUpdate good{FingerprintOfBody("x"), "s", {{"i-1", "v1", 5}}, {}, {}};
-  std::vector<CaseUpdate> bad(7, good);
-  bad[0].service.clear();
-  bad[1].crashes[0].age_ms = -3'600'000;
-  bad[2].crashes.assign(9, good.crashes[0]);
-  bad[3].crashes.push_back({std::string(300, 'i'), "v1", 5});
-  bad[4].clearances.push_back({"v1", -1});
-  bad[5].clearances.assign(5, {"v1", 1});
-  bad[6].quarantined_versions.assign(5, "v1");
-  const Effects effects = fixture.Apply(CasesReceived{bad});
-  CHECK(effects.dropped == bad.size());
+  const CaseUpdate valid{FingerprintOfBody("x"), "s", {{"i-1", "v1", 5}}, {}, {}};
+  std::vector<CaseUpdate> invalid(7, valid);
+  invalid[0].service.clear();
+  invalid[1].crashes[0].age_ms = -3'600'000;
+  invalid[2].crashes.assign(9, valid.crashes[0]);
+  invalid[3].crashes.push_back({std::string(300, 'i'), "v1", 5});
+  invalid[4].clearances.push_back({"v1", -1});
+  invalid[5].clearances.assign(5, {"v1", 1});
+  invalid[6].quarantined_versions.assign(5, "v1");
+  const Effects effects = fixture.Apply(CasesReceived{invalid});
+  CHECK(effects.dropped == invalid.size());
   CHECK(fixture.tracker.size() == 0);
-  CaseUpdate old = good;
+  CaseUpdate old = valid;
   old.crashes[0].age_ms = 3'600'000'000;
   fixture.Apply(CasesReceived{{old}});
   CHECK(fixture.tracker.size() == 0);
--- a/test/quarantine/crashing_request_test.cc
+++ b/test/quarantine/crashing_request_test.cc
@@ -56,7 +56,7 @@
                       {"v1"}};
   };
   QuarantineNotice record;
-  record.cases = {quarantined("guilty", "booking"), quarantined("other", "no such service")};
+  record.cases = {quarantined("crasher", "booking"), quarantined("other", "no such service")};
   Deployment deployment(1);
   deployment.platform.store().Put("moorfold/quarantine", EncodeMessage(record));
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
@@ -68,7 +68,7 @@
             {{"Host", EmulatedPlatform::kHost}, {"X-Request-Id", body}, {"X-Deadline-Ms", "5000"}},
             body});
   };
-  CHECK(send("guilty").status == 503);
+  CHECK(send("crasher").status == 503);
   CHECK(send("other").status == 200);
   CHECK(deployment.gateways[0]->gateway.metrics().quarantine.quarantined == 1);
   CHECK(deployment.gateways[0]->gateway.metrics().quarantine.cases_dropped == 1);
--- a/test/quarantine/quarantined_request_test.cc
+++ b/test/quarantine/quarantined_request_test.cc
@@ -46,10 +46,10 @@
 };
 
 bool IsSuspected(PipelineFixture& fixture, const std::string& body) {
-  quarantine::QuarantineState standing{};
+  quarantine::QuarantineState state{};
   const Fingerprint fingerprint = FingerprintOf({"h", "/p/x", "", body});
-  fixture.OnThread([&] { standing = fixture.quarantine().StateFor(fingerprint, ""); });
-  return standing != quarantine::QuarantineState::kClear;
+  fixture.OnThread([&] { state = fixture.quarantine().StateFor(fingerprint, ""); });
+  return state != quarantine::QuarantineState::kClear;
 }
 
 TEST_CASE("Retries of a request are recognized from any client address") {
@@ -102,7 +102,7 @@
 
 TEST_CASE("The operator can list and release quarantined requests") {
   PipelineFixture fixture;
-  const Fingerprint crashing_request = FingerprintOf({"h", "/p/x", "", "guilty"});
+  const Fingerprint crashing_request = FingerprintOf({"h", "/p/x", "", "crasher"});
   const auto call = [&](const std::string& method, const std::string& target) {
     HttpResponse response;
     fixture.OnThread([&] {
--- a/test/quarantine/propagation_model_test.cc
+++ b/test/quarantine/spreading_model_test.cc
@@ -30,8 +30,8 @@
   bool forwards = true;       ///< New evidence that was received is forwarded.
   bool compares = true;       ///< Digests are compared with the leader.
   std::uint32_t servers = 3;  ///< 0 disables quarantine.
-  int restarts = 0;  ///< Number of daemons that restart during the run and lose their state.
-  int healthy_requests = 4;  ///< Other requests on each server that runs the crashing request.
+  int restarts = 0;           ///< Daemons that restart during the run and lose their state.
+  int healthy_requests = 4;   ///< Other requests on each server that runs the crashing request.
 };
 
 /// The fan-out matches QuarantineService.
@@ -39,10 +39,10 @@
  public:
   PropagationModel(const ModelSettings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed) {
-    quarantine::Settings tracker;
-    tracker.servers = settings.servers;
+    quarantine::Settings tracker_settings;
+    tracker_settings.servers = settings.servers;
     for (int daemon = 0; daemon < settings.daemons; ++daemon)
-      daemons_.push_back({CrashTracker(tracker)});
+      daemons_.push_back({CrashTracker(tracker_settings)});
   }
 
   /// Sends the crashing request to a random daemon every `pause`, for a duration of `length`.
@@ -157,10 +157,10 @@
   void SendCrashingRequest() {
     if (restart_count_ < settings_.restarts) {
       ++restart_count_;
-      quarantine::Settings tracker;
-      tracker.servers = settings_.servers;
+      quarantine::Settings tracker_settings;
+      tracker_settings.servers = settings_.servers;
       Daemon& restarted = daemons_[Draw(daemons_.size())];
-      restarted = {CrashTracker(tracker)};
+      restarted = {CrashTracker(tracker_settings)};
       restarted.started = now_;
     }
     const std::size_t number = Draw(daemons_.size());
@@ -208,8 +208,8 @@
   int crashed_servers = 0;
   int sent_late = 0;
   int healthy_refused = 0;
-  int incomplete_runs =
-      0;  ///< Runs at the end of which some daemon did not quarantine the request.
+  /// Runs at the end of which some daemon did not quarantine the request.
+  int incomplete_runs = 0;
 };
 
 WorstResult RunModel(const ModelSettings& settings, int runs,
@@ -276,8 +276,8 @@
   no_forwarding.loss = 0.6;
   no_forwarding.daemons = 30;
   CHECK(RunModel(no_forwarding, 30).incomplete_runs > 0);
-  ModelSettings
-      no_comparison;  // Restarted daemons receive cases only through the digest comparison.
+  // Restarted daemons receive cases only through the digest comparison.
+  ModelSettings no_comparison;
   no_comparison.compares = false;
   no_comparison.repeats = false;
   no_comparison.restarts = 8;
--- a/test/server_limits/permit_model_test.cc
+++ b/test/server_limits/permit_model_test.cc
@@ -159,7 +159,7 @@
         0};
     const int life = daemon.life;
     const auto completed = std::make_shared<bool>(false);
-    Schedule(kAnswerTimeout, [this, number, life, completed] {
+    Schedule(kResponseTimeout, [this, number, life, completed] {
       Daemon& asker = daemons_[static_cast<std::size_t>(number)];
       if (*completed || asker.life != life) return;
       *completed = true;
