--- a/src/gateway/suspect_guard.cc
+++ b/src/gateway/suspect_guard.cc
@@ -52,8 +52,8 @@
   const ServerRecord& record = server.record();
   const bool sent = result.end != ForwardEnd::kNotRun && result.end != ForwardEnd::kClientLeft;
   if (result.link_ended && sent) {
-    quarantine_.Note(quarantine::LinkEnded{request.fingerprint, request.service, record.id,
-                                           record.software_version});
+    quarantine_.Note(quarantine::ConnectionClosed{request.fingerprint, request.service, record.id,
+                                                  record.software_version});
     return;
   }
   const bool other_there = result.status == kMisdirectedStatus && server.gone();
@@ -64,10 +64,10 @@
   }
   if (result.status == 0) return;
   if (quarantine_.tracker().AwaitsConfirmation(record.id))
-    quarantine_.Note(quarantine::ServerAnswered{record.id, sent_at});
+    quarantine_.Note(quarantine::ServerResponded{record.id, sent_at});
   // A failure that a server answers may come before it has begun the request: no proof.
   if (result.end == ForwardEnd::kAnswered && result.status < http_status::kBadRequest)
-    quarantine_.Note(quarantine::Served{request.fingerprint, record.software_version});
+    quarantine_.Note(quarantine::RequestSucceeded{request.fingerprint, record.software_version});
 }
 
 }  // namespace moorfold
--- a/src/quarantine/crash_tracker.cc
+++ b/src/quarantine/crash_tracker.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxCrashesPerCase = 8;
 constexpr std::size_t kMaxVersionsPerCase = 4;
 /// Unconfirmed connections: 64 requests on each of 64 servers.
-constexpr std::size_t kMaxUnconfirmedLinks = 4'096;
+constexpr std::size_t kMaxUnconfirmedCloses = 4'096;
 constexpr std::size_t kMaxRecentSuccesses = 2'048;
 /// Server IDs, services and versions of legitimate daemons are shorter; longer ones are rejected.
 constexpr std::size_t kMaxNameLength = 200;
@@ -44,31 +44,32 @@
   return effects;
 }
 
-void CrashTracker::Handle(const LinkEnded& event, Time now, Effects& effects) {
-  if (settings_.servers == 0 || unconfirmed_link_count_ >= kMaxUnconfirmedLinks) return;
-  std::vector<UnconfirmedLink>& unconfirmed = unconfirmed_links_[event.server_id];
+void CrashTracker::Handle(const ConnectionClosed& event, Time now, Effects& effects) {
+  if (settings_.servers == 0 || unconfirmed_close_count_ >= kMaxUnconfirmedCloses) return;
+  std::vector<UnconfirmedClose>& unconfirmed = unconfirmed_closes_[event.server_id];
   if (unconfirmed.empty()) effects.servers_to_probe.push_back(event.server_id);
   unconfirmed.push_back({event, now});
-  ++unconfirmed_link_count_;
+  ++unconfirmed_close_count_;
 }
 
 void CrashTracker::Handle(const ServerEnded& event, Time now, Effects& effects) {
-  const auto unconfirmed = unconfirmed_links_.find(event.server_id);
-  if (unconfirmed == unconfirmed_links_.end()) return;
+  const auto unconfirmed = unconfirmed_closes_.find(event.server_id);
+  if (unconfirmed == unconfirmed_closes_.end()) return;
   std::vector<Fingerprint> affected;
-  for (const UnconfirmedLink& ended : unconfirmed->second) {
-    const Fingerprint& fingerprint = ended.link.fingerprint;
+  for (const UnconfirmedClose& closed : unconfirmed->second) {
+    const Fingerprint& fingerprint = closed.connection.fingerprint;
     if (SucceededRecently(fingerprint, now)) continue;
-    Case* tracked = FindOrCreateCase(fingerprint, ended.link.service);
+    Case* tracked = FindOrCreateCase(fingerprint, closed.connection.service);
     if (tracked == nullptr) {
       ++effects.dropped;
       continue;
     }
-    if (AddCrash(fingerprint, *tracked, {event.server_id, ended.link.version, ended.at}, now))
+    if (AddCrash(fingerprint, *tracked, {event.server_id, closed.connection.version, closed.at},
+                 now))
       affected.push_back(fingerprint);
   }
-  unconfirmed_link_count_ -= unconfirmed->second.size();
-  unconfirmed_links_.erase(unconfirmed);
+  unconfirmed_close_count_ -= unconfirmed->second.size();
+  unconfirmed_closes_.erase(unconfirmed);
   for (const Fingerprint& fingerprint : affected) {
     const auto existing = cases_.find(fingerprint);
     // The case may have been evicted to make room for another one of the same server.
@@ -81,15 +82,16 @@
   }
 }
 
-void CrashTracker::Handle(const ServerAnswered& event, Time, Effects&) {
-  const auto unconfirmed = unconfirmed_links_.find(event.server_id);
-  if (unconfirmed == unconfirmed_links_.end()) return;
-  unconfirmed_link_count_ -= std::erase_if(
-      unconfirmed->second, [&](const UnconfirmedLink& ended) { return ended.at < event.sent_at; });
-  if (unconfirmed->second.empty()) unconfirmed_links_.erase(unconfirmed);
+void CrashTracker::Handle(const ServerResponded& event, Time, Effects&) {
+  const auto unconfirmed = unconfirmed_closes_.find(event.server_id);
+  if (unconfirmed == unconfirmed_closes_.end()) return;
+  unconfirmed_close_count_ -=
+      std::erase_if(unconfirmed->second,
+                    [&](const UnconfirmedClose& closed) { return closed.at < event.sent_at; });
+  if (unconfirmed->second.empty()) unconfirmed_closes_.erase(unconfirmed);
 }
 
-void CrashTracker::Handle(const Served& event, Time now, Effects& effects) {
+void CrashTracker::Handle(const RequestSucceeded& event, Time now, Effects& effects) {
   if (settings_.servers == 0) return;
   RecordSuccess(event.fingerprint, now);
   const auto existing = cases_.find(event.fingerprint);
@@ -143,12 +145,12 @@
 }
 
 void CrashTracker::Handle(const Tick&, Time now, Effects& effects) {
-  for (auto unconfirmed = unconfirmed_links_.begin(); unconfirmed != unconfirmed_links_.end();) {
-    unconfirmed_link_count_ -=
-        std::erase_if(unconfirmed->second, [&](const UnconfirmedLink& ended) {
-          return now - ended.at > settings_.confirmation_timeout;
+  for (auto unconfirmed = unconfirmed_closes_.begin(); unconfirmed != unconfirmed_closes_.end();) {
+    unconfirmed_close_count_ -=
+        std::erase_if(unconfirmed->second, [&](const UnconfirmedClose& closed) {
+          return now - closed.at > settings_.confirmation_timeout;
         });
-    unconfirmed = unconfirmed->second.empty() ? unconfirmed_links_.erase(unconfirmed)
+    unconfirmed = unconfirmed->second.empty() ? unconfirmed_closes_.erase(unconfirmed)
                                               : std::next(unconfirmed);
   }
   std::vector<Fingerprint> old;
--- a/src/quarantine/crash_tracker.h
+++ b/src/quarantine/crash_tracker.h
@@ -79,7 +79,7 @@
 };
 
 /// The server closed the connection before the response to a request was complete.
-struct LinkEnded {
+struct ConnectionClosed {
   Fingerprint fingerprint;
   std::string service;
   std::string server_id;
@@ -90,12 +90,12 @@
   std::string server_id;
 };
 /// A server has responded to a request that was sent at `sent_at`.
-struct ServerAnswered {
+struct ServerResponded {
   std::string server_id;
   Time sent_at{};
 };
-/// A server of that version has completed the response to a request.
-struct Served {
+/// A server of that version has completed a successful response to a request.
+struct RequestSucceeded {
   Fingerprint fingerprint;
   std::string version;
 };
@@ -109,8 +109,8 @@
 };
 /// Periodic event: expires old evidence and cases, and reevaluates the remaining cases.
 struct Tick {};
-using Event =
-    std::variant<LinkEnded, ServerEnded, ServerAnswered, Served, CasesReceived, Released, Tick>;
+using Event = std::variant<ConnectionClosed, ServerEnded, ServerResponded, RequestSucceeded,
+                           CasesReceived, Released, Tick>;
 
 enum class CaseChangeKind : std::uint8_t {
   kSuspected,
@@ -158,7 +158,7 @@
                            Time now) const;
   /// @return whether a connection that the server closed is not yet confirmed as a crash.
   bool AwaitsConfirmation(const std::string& server_id) const {
-    return unconfirmed_links_.contains(server_id);
+    return unconfirmed_closes_.contains(server_id);
   }
   /// @return the evidence of a case, to be sent to other daemons; without a service if there is no
   /// such case.
@@ -193,16 +193,16 @@
     Time last_crash_learned_at{};  ///< When this daemon learned of the newest crash.
     std::uint64_t digest_part = 0;
   };
-  struct UnconfirmedLink {
-    LinkEnded link;
+  struct UnconfirmedClose {
+    ConnectionClosed connection;
     Time at{};
   };
   using CaseMap = std::unordered_map<Fingerprint, Case, FingerprintHash>;
 
-  void Handle(const LinkEnded& event, Time now, Effects& effects);
+  void Handle(const ConnectionClosed& event, Time now, Effects& effects);
   void Handle(const ServerEnded& event, Time now, Effects& effects);
-  void Handle(const ServerAnswered& event, Time now, Effects& effects);
-  void Handle(const Served& event, Time now, Effects& effects);
+  void Handle(const ServerResponded& event, Time now, Effects& effects);
+  void Handle(const RequestSucceeded& event, Time now, Effects& effects);
   void Handle(const CasesReceived& event, Time now, Effects& effects);
   void Handle(const Released& event, Time now, Effects& effects);
   void Handle(const Tick& event, Time now, Effects& effects);
@@ -234,8 +234,8 @@
   Settings settings_;
   CaseMap cases_;
   /// Keyed by server ID.
-  std::unordered_map<std::string, std::vector<UnconfirmedLink>> unconfirmed_links_;
-  std::size_t unconfirmed_link_count_ = 0;
+  std::unordered_map<std::string, std::vector<UnconfirmedClose>> unconfirmed_closes_;
+  std::size_t unconfirmed_close_count_ = 0;
   /// For each crashed server, the cases that were running on it.
   std::unordered_map<std::string, std::vector<Fingerprint>> cases_by_server_;
   std::unordered_map<Fingerprint, Time, FingerprintHash> recent_successes_;
--- a/test/quarantine/crash_tracker_test.cc
+++ b/test/quarantine/crash_tracker_test.cc
@@ -8,14 +8,14 @@
 
 using quarantine::CaseChangeKind;
 using quarantine::CasesReceived;
+using quarantine::ConnectionClosed;
 using quarantine::CrashTracker;
 using quarantine::Effects;
-using quarantine::LinkEnded;
 using quarantine::QuarantineState;
 using quarantine::Released;
-using quarantine::Served;
-using quarantine::ServerAnswered;
+using quarantine::RequestSucceeded;
 using quarantine::ServerEnded;
+using quarantine::ServerResponded;
 using quarantine::Settings;
 using quarantine::Tick;
 using quarantine::Time;
@@ -41,7 +41,7 @@
   void Crash(const std::string& server, const std::vector<std::string>& running,
              const std::string& version = kV1) {
     for (const std::string& each : running)
-      Apply(LinkEnded{FingerprintOfBody(each), "s", server, version});
+      Apply(ConnectionClosed{FingerprintOfBody(each), "s", server, version});
     Apply(ServerEnded{server});
   }
   QuarantineState StateOf(const std::string& body, const std::string& version = kV1) const {
@@ -86,17 +86,17 @@
   TrackerFixture fixture;
   for (const char* server : {"i-1", "i-2", "i-3"}) {
     const auto probed =
-        fixture.Apply(LinkEnded{FingerprintOfBody("x"), "s", server, kV1}).servers_to_probe;
+        fixture.Apply(ConnectionClosed{FingerprintOfBody("x"), "s", server, kV1}).servers_to_probe;
     CHECK(probed == std::vector<std::string>{server});
   }
   CHECK_FALSE(fixture.tracker.HasCase(FingerprintOfBody("x")));
   fixture.now += milliseconds(1);
   // The server is running, so only the connection was cut.
-  fixture.Apply(ServerAnswered{"i-1", fixture.now});
+  fixture.Apply(ServerResponded{"i-1", fixture.now});
   fixture.Apply(ServerEnded{"i-1"});
   CHECK_FALSE(fixture.tracker.HasCase(FingerprintOfBody("x")));
   // A request sent before the connection closed may have been answered before the crash.
-  fixture.Apply(ServerAnswered{"i-2", fixture.now - seconds(1)});
+  fixture.Apply(ServerResponded{"i-2", fixture.now - seconds(1)});
   fixture.Apply(ServerEnded{"i-2"});
   CHECK(fixture.StateOf("x") == QuarantineState::kSuspect);
   fixture.Advance(seconds(6));
@@ -106,11 +106,11 @@
 
 TEST_CASE("A complete response clears a request, before and after a crash") {
   TrackerFixture fixture;
-  fixture.Apply(Served{FingerprintOfBody("polled"), kV1});
+  fixture.Apply(RequestSucceeded{FingerprintOfBody("polled"), kV1});
   fixture.Crash("i-1", {"polled", "a"});
   CHECK_FALSE(fixture.tracker.HasCase(FingerprintOfBody("polled")));
   fixture.Crash("i-2", {"a"});
-  const Effects cleared = fixture.Apply(Served{FingerprintOfBody("a"), kV1});
+  const Effects cleared = fixture.Apply(RequestSucceeded{FingerprintOfBody("a"), kV1});
   CHECK(fixture.StateOf("a") == QuarantineState::kClear);
   REQUIRE(cleared.changes.size() == 1);
   CHECK(cleared.changes[0].kind == CaseChangeKind::kCleared);
@@ -126,7 +126,7 @@
   CHECK(fixture.StateOf("crasher", "v1") == QuarantineState::kQuarantined);
   CHECK(fixture.StateOf("crasher", "v2") == QuarantineState::kSuspect);
   TrackerFixture fixed_version = fixture;
-  fixed_version.Apply(Served{FingerprintOfBody("crasher"), "v2"});
+  fixed_version.Apply(RequestSucceeded{FingerprintOfBody("crasher"), "v2"});
   CHECK(fixed_version.StateOf("crasher", "v1") == QuarantineState::kQuarantined);
   fixture.Crash("j-1", {"crasher", "a"}, "v2");
   CHECK(fixture.StateOf("crasher", "v2") == QuarantineState::kQuarantined);
@@ -162,8 +162,8 @@
   std::vector<CaseUpdate> exported_back;
   for (const char* body : {"c", "crasher", "b"})
     exported_back.push_back(two.tracker.ExportCase(FingerprintOfBody(body), two.now));
-  const Effects reported_back = two.Apply(CasesReceived{exported});
-  CHECK(reported_back.updated_cases.size() == 2);
+  const Effects merge_effects = two.Apply(CasesReceived{exported});
+  CHECK(merge_effects.updated_cases.size() == 2);
   CHECK(two.StateOf("crasher") == QuarantineState::kQuarantined);
   // The second delivery changes nothing.
   CHECK(two.Apply(CasesReceived{exported}).updated_cases.empty());
@@ -221,7 +221,8 @@
   CHECK(fixture.StateOf("crasher") == QuarantineState::kQuarantined);
   // Unconfirmed connections are bounded as well.
   for (int each = 0; each < 10'000; ++each)
-    fixture.Apply(LinkEnded{FingerprintOfBody("link-" + std::to_string(each)), "s", "i-9", kV1});
+    fixture.Apply(
+        ConnectionClosed{FingerprintOfBody("connection-" + std::to_string(each)), "s", "i-9", kV1});
   fixture.Apply(ServerEnded{"i-9"});
   CHECK(fixture.tracker.size() <= 50);
 }
--- a/test/quarantine/quarantined_request_test.cc
+++ b/test/quarantine/quarantined_request_test.cc
@@ -113,7 +113,7 @@
   CHECK(call("GET", "/quarantine").body.empty());
   fixture.OnThread([&] {
     for (const char* server : {"i-1", "i-2", "i-3"}) {
-      fixture.quarantine().Note(quarantine::LinkEnded{crashing_request, "s", server, "v1"});
+      fixture.quarantine().Note(quarantine::ConnectionClosed{crashing_request, "s", server, "v1"});
       fixture.quarantine().Note(quarantine::ServerEnded{server});
     }
   });
--- a/test/quarantine/spreading_model_test.cc
+++ b/test/quarantine/spreading_model_test.cc
@@ -173,8 +173,8 @@
       ++sent_late_;
     const std::string server = "i-" + std::to_string(crashed_servers_);
     if (++crashed_servers_ == 3) third_crash_at_ = now_;
-    daemons_[number].tracker.Reduce(quarantine::LinkEnded{crashing_request_, "s", server, kVersion},
-                                    now_);
+    daemons_[number].tracker.Reduce(
+        quarantine::ConnectionClosed{crashing_request_, "s", server, kVersion}, now_);
     for (int each = 0; each < settings_.healthy_requests; ++each) {
       // A safe request whose connection broke is retried and may run on the next crashing server as
       // well.
@@ -182,7 +182,7 @@
       const std::size_t at = Draw(daemons_.size());
       if (daemons_[at].tracker.StateFor(other, kVersion, now_) == QuarantineState::kQuarantined)
         ++healthy_refused_;
-      daemons_[at].tracker.Reduce(quarantine::LinkEnded{other, "s", server, kVersion}, now_);
+      daemons_[at].tracker.Reduce(quarantine::ConnectionClosed{other, "s", server, kVersion}, now_);
     }
     for (std::size_t each = 0; each < daemons_.size(); ++each)
       Apply(each, daemons_[each].tracker.Reduce(quarantine::ServerEnded{server}, now_), true);
