--- a/src/quarantine/quarantine_service.h
+++ b/src/quarantine/quarantine_service.h
@@ -20,11 +20,11 @@
 
 /// Counters of one daemon, exported as metrics.
 struct QuarantineCounters {
-  std::uint64_t servers_ended =
-      0;  ///< Servers that ended under requests of this daemon, as far as detected.
+  /// Servers that ended under requests of this daemon, as far as detected.
+  std::uint64_t servers_ended = 0;
   std::uint64_t refused = 0;  ///< Requests that were refused because servers crash under them.
-  std::uint64_t cases_dropped =
-      0;  ///< Received cases that were invalid, or for which there was no room.
+  /// Cases that were invalid or of an unknown service, or for which there was no room.
+  std::uint64_t cases_dropped = 0;
   std::int64_t cases = 0;
   std::int64_t quarantined = 0;
 };
@@ -35,7 +35,7 @@
 /// Dissemination does not depend on a leader (gossip). Evidence that this daemon observed goes at
 /// once to the leader and a few random peers, and is repeated with each periodic tick for a while
 /// to make up for lost datagrams and a change of leader. Evidence received from others is forwarded
-/// to a few random peers if it was new. Each round multiplies the number of daemons that have the
+/// to a few random peers if it was new. Each round doubles the number of daemons that have the
 /// evidence, so 295 daemons have it within a few message exchanges of milliseconds each. Daemons
 /// that were unreachable compare a digest with the leader twice a second and are sent the cases
 /// they lack.
--- a/src/server_limits/limit_shares.h
+++ b/src/server_limits/limit_shares.h
@@ -18,7 +18,7 @@
 inline constexpr double kDeputyShare = 0.3;
 inline constexpr double kFallbackShare = 0.2;
 
-/// A request that was granted a permit is sent within this time.
+/// A request is sent within this time after its permit becomes valid.
 inline constexpr milliseconds kPermitLifetime{150};
 /// Timeout for a response to a permit request.
 inline constexpr milliseconds kResponseTimeout{120};
