--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -82,7 +82,7 @@
       std::chrono::duration_cast<milliseconds>(BootClock::now() - started_at_).count();
   report.strength = settings_.cpu_share;
   report.stopping = stopping_;
-  report.quarantine_digest = quarantine_.book().Digest();
+  report.quarantine_digest = quarantine_.tracker().Digest();
   report.zone = ZoneIdOf(settings_.zone);
   report.relay_plan = relays_.plan().number;
   return report;
@@ -177,7 +177,7 @@
     answer.leads = false;
   }
   answer.peers = members_.Some(kPeersTold);
-  answer.quarantine_digest = quarantine_.book().Digest();
+  answer.quarantine_digest = quarantine_.tracker().Digest();
   ++metrics_.relay_answers_sent;
   channel_.SendTo(report.address, answer);
 }
--- a/src/quarantine/quarantine_service.cc
+++ b/src/quarantine/quarantine_service.cc
@@ -240,7 +240,7 @@
   const auto [first, last] = service_.suspect_attempts_.equal_range(fingerprint_);
   const auto entry =
       std::find_if(first, last, [&](const auto& attempt) { return attempt.second == server_id_; });
-  if (entry != last) service_.suspect_attempts_.erase(local);
+  if (entry != last) service_.suspect_attempts_.erase(entry);
   service_.ports_.changed();
 }
 
