--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -145,7 +145,7 @@
   wanted.chooser = settings_.name;
   for (const ServerRefusal& refusal : request.refusals)
     if (BootClock::now() < refusal.until) wanted.excluded.push_back(refusal.server_id);
-  if (quarantine_.tracker().Known(request.fingerprint) && !suspects_.Limit(request, wanted)) {
+  if (quarantine_.tracker().HasCase(request.fingerprint) && !suspects_.Limit(request, wanted)) {
     reason = NoServerReason::kAllUnusable;
     return nullptr;
   }
@@ -300,7 +300,7 @@
   const DemandMark flight(view_.demand, request.service, request.model,
                           &DemandBook::Count::in_flight);
   std::optional<QuarantineService::SuspectAttempt> trial;
-  if (quarantine_.tracker().Known(request.fingerprint))
+  if (quarantine_.tracker().HasCase(request.fingerprint))
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
   const bool last = !MayRunElsewhere(request);
   const SteadyTime sent_at = BootClock::now();
