--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -92,9 +92,9 @@
     handlers_.on_configuration_question(*configuration_question, from);
   } else if (const auto* configuration_part = std::get_if<ConfigurationPart>(&message)) {
     handlers_.on_configuration_part(*configuration_part, from);
-  } else if (const auto* permit_question = std::get_if<PermitQuestion>(&message)) {
+  } else if (const auto* permit_question = std::get_if<PermitRequest>(&message)) {
     handlers_.on_permit_question(*permit_question, from);
-  } else if (const auto* permit_answer = std::get_if<PermitAnswer>(&message)) {
+  } else if (const auto* permit_answer = std::get_if<PermitResponse>(&message)) {
     handlers_.on_permit_answer(*permit_answer, from);
   } else {
     handlers_.on_leadership_offer(std::get<LeadershipOffer>(message));
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -82,7 +82,7 @@
       std::chrono::duration_cast<milliseconds>(BootClock::now() - started_at_).count();
   report.strength = settings_.cpu_share;
   report.stopping = stopping_;
-  report.quarantine_digest = quarantine_.book().Digest();
+  report.quarantine_digest = quarantine_.tracker().Digest();
   report.zone = ZoneIdOf(settings_.zone);
   report.relay_plan = relays_.plan().number;
   return report;
@@ -158,7 +158,8 @@
   members_.Note(report, BootClock::now());
   census_.Note(report.address, report.strength, BootClock::now());
   peers_.Note(report.address, BootClock::now());
-  if (report.question) quarantine_.Compare(report.quarantine_digest, report.address);
+  if (report.question)
+    quarantine_.SendCasesIfDigestDiffers(report.quarantine_digest, report.address);
   relays_.TakeReport(report);
   controller_.AddReport(report);
   if (report.question) AnswerQuestion(report);
@@ -176,7 +177,7 @@
     answer.leads = false;
   }
   answer.peers = members_.NextAddresses(kPeersTold);
-  answer.quarantine_digest = quarantine_.book().Digest();
+  answer.quarantine_digest = quarantine_.tracker().Digest();
   ++metrics_.relay_answers_sent;
   channel_.SendTo(report.address, answer);
 }
@@ -205,7 +206,7 @@
     relays_.HandleFleetSize(answer.daemons);
   }
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
-  quarantine_.Compare(answer.quarantine_digest, from);
+  quarantine_.SendCasesIfDigestDiffers(answer.quarantine_digest, from);
   store_view_.TakeAnswer(answer);
   if (!relays_.UsesRelays()) return;
   if (answer.partial) relays_.RequestChanges();
--- a/src/gateway/quarantine_filter.cc
+++ b/src/gateway/quarantine_filter.cc
@@ -11,12 +11,12 @@
 namespace moorfold {
 
 bool QuarantineFilter::IsQuarantined(const GatewayRequest& request) const {
-  if (!quarantine_.book().Known(request.fingerprint)) return false;
+  if (!quarantine_.tracker().HasCase(request.fingerprint)) return false;
   const std::vector<ServerPtr>& servers = view_.servers.Of(request.service);
   return !servers.empty() &&
          std::all_of(servers.begin(), servers.end(), [&](const ServerPtr& server) {
-           return quarantine_.At(request.fingerprint, server->record().software_version) ==
-                  quarantine::Standing::kQuarantined;
+           return quarantine_.StateFor(request.fingerprint, server->record().software_version) ==
+                  quarantine::QuarantineState::kQuarantined;
          });
 }
 
@@ -24,26 +24,26 @@
 /// suspect: if the server crashes, the cause is unambiguous; if not, the request is cleared.
 bool QuarantineFilter::ExcludeServers(const GatewayRequest& request,
                                       ServerChoiceRequest& choice_request) const {
-  if (quarantine_.OnTrial(request.fingerprint)) return false;
+  if (quarantine_.HasAttemptInFlight(request.fingerprint)) return false;
   bool suspected = false;
   for (const ServerPtr& server : view_.servers.Of(request.service)) {
     const std::string& version = server->record().software_version;
-    switch (quarantine_.At(request.fingerprint, version)) {
-      case quarantine::Standing::kQuarantined:
+    switch (quarantine_.StateFor(request.fingerprint, version)) {
+      case quarantine::QuarantineState::kQuarantined:
         choice_request.excluded_versions.push_back(version);
         break;
-      case quarantine::Standing::kUndecided:
+      case quarantine::QuarantineState::kUndecided:
         choice_request.excluded.push_back(server->record().id);
         break;
-      case quarantine::Standing::kSuspect:
+      case quarantine::QuarantineState::kSuspect:
         suspected = true;
         break;
-      case quarantine::Standing::kClear:
+      case quarantine::QuarantineState::kClear:
         break;
     }
   }
   if (!suspected) return true;
-  for (std::string& server : quarantine_.ServersOnTrial())
+  for (std::string& server : quarantine_.ServersWithSuspects())
     choice_request.excluded.push_back(std::move(server));
   return true;
 }
@@ -54,22 +54,23 @@
   const bool sent = result.attempt_outcome != AttemptOutcome::kNotRun &&
                     result.attempt_outcome != AttemptOutcome::kClientLeft;
   if (result.connection_lost && sent) {
-    quarantine_.Note(quarantine::LinkEnded{request.fingerprint, request.service, record.id,
-                                           record.software_version});
+    quarantine_.Note(quarantine::ConnectionClosed{request.fingerprint, request.service, record.id,
+                                                  record.software_version});
     return;
   }
   const bool replaced = result.status == kMisdirectedStatus && server.gone();
   if (result.connection_lost || replaced) {
-    if (quarantine_.book().Waiting(record.id)) quarantine_.Note(quarantine::ServerEnded{record.id});
+    if (quarantine_.tracker().AwaitsConfirmation(record.id))
+      quarantine_.Note(quarantine::ServerEnded{record.id});
     return;
   }
   if (result.status == 0) return;
-  if (quarantine_.book().Waiting(record.id))
-    quarantine_.Note(quarantine::ServerAnswered{record.id, sent_at});
+  if (quarantine_.tracker().AwaitsConfirmation(record.id))
+    quarantine_.Note(quarantine::ServerResponded{record.id, sent_at});
   // An error response proves nothing: the server may send it before it has started the request.
   if (result.attempt_outcome == AttemptOutcome::kAnswered &&
       result.status < http_status::kBadRequest)
-    quarantine_.Note(quarantine::Served{request.fingerprint, record.software_version});
+    quarantine_.Note(quarantine::RequestSucceeded{request.fingerprint, record.software_version});
 }
 
 }  // namespace moorfold
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -147,7 +147,7 @@
   choice_request.daemon_name = settings_.name;
   for (const ServerRefusal& refusal : request.refusals)
     if (BootClock::now() < refusal.until) choice_request.excluded.push_back(refusal.server_id);
-  if (quarantine_.book().Known(request.fingerprint) &&
+  if (quarantine_.tracker().HasCase(request.fingerprint) &&
       !quarantine_filter_.ExcludeServers(request, choice_request)) {
     reason = NoServerReason::kAllUnusable;
     return nullptr;
@@ -305,8 +305,8 @@
                                                   const ServerPtr& server) {
   const ScopedDemandCount in_flight_mark(view_.demand, request.service, request.model,
                                          &DemandCounters::Count::in_flight);
-  std::optional<QuarantineService::Trial> trial;
-  if (quarantine_.book().Known(request.fingerprint))
+  std::optional<QuarantineService::SuspectAttempt> trial;
+  if (quarantine_.tracker().HasCase(request.fingerprint))
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
   const bool last = !MayRetryElsewhere(request);
   const SteadyTime sent_at = BootClock::now();
--- /dev/null
+++ b/src/quarantine/crash_tracker.cc
@@ -0,0 +1,458 @@
+#include "quarantine/crash_tracker.h"
+
+#include <xxhash.h>
+
+#include <algorithm>
+
+namespace moorfold::quarantine {
+
+namespace {
+
+/// Per case; more than the number of crashes that a decision needs.
+constexpr std::size_t kMaxCrashesPerCase = 8;
+constexpr std::size_t kMaxVersionsPerCase = 4;
+/// Unconfirmed connections: 64 requests on each of 64 servers.
+constexpr std::size_t kMaxUnconfirmedCloses = 4'096;
+constexpr std::size_t kMaxRecentSuccesses = 2'048;
+/// Server IDs, services and versions of legitimate daemons are shorter; longer ones are rejected.
+constexpr std::size_t kMaxNameLength = 200;
+/// With crashes on fewer servers, a request cannot be told apart from the others on the same
+/// server.
+constexpr std::size_t kMinCrashesToCompare = 2;
+
+bool Contains(const std::vector<std::string>& names, std::string_view name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+std::int64_t AgeMs(Time at, Time now) {
+  return std::max<std::int64_t>(0, std::chrono::duration_cast<Milliseconds>(now - at).count());
+}
+
+bool HasValidLength(const std::string& name) { return name.size() <= kMaxNameLength; }
+
+}  // namespace
+
+std::size_t CrashTracker::CrashCount(const Case& tracked, std::string_view version) {
+  return static_cast<std::size_t>(
+      std::count_if(tracked.crashes.begin(), tracked.crashes.end(),
+                    [&](const Crash& crash) { return crash.version == version; }));
+}
+
+Effects CrashTracker::Reduce(const Event& event, Time now) {
+  Effects effects;
+  std::visit([&](const auto& each) { Handle(each, now, effects); }, event);
+  return effects;
+}
+
+void CrashTracker::Handle(const ConnectionClosed& event, Time now, Effects& effects) {
+  if (settings_.servers == 0 || unconfirmed_close_count_ >= kMaxUnconfirmedCloses) return;
+  std::vector<UnconfirmedClose>& unconfirmed = unconfirmed_closes_[event.server_id];
+  if (unconfirmed.empty()) effects.servers_to_probe.push_back(event.server_id);
+  unconfirmed.push_back({event, now});
+  ++unconfirmed_close_count_;
+}
+
+void CrashTracker::Handle(const ServerEnded& event, Time now, Effects& effects) {
+  const auto unconfirmed = unconfirmed_closes_.find(event.server_id);
+  if (unconfirmed == unconfirmed_closes_.end()) return;
+  std::vector<Fingerprint> affected;
+  for (const UnconfirmedClose& closed : unconfirmed->second) {
+    const Fingerprint& fingerprint = closed.connection.fingerprint;
+    if (SucceededRecently(fingerprint, now)) continue;
+    Case* tracked = FindOrCreateCase(fingerprint, closed.connection.service);
+    if (tracked == nullptr) {
+      ++effects.dropped;
+      continue;
+    }
+    if (AddCrash(fingerprint, *tracked, {event.server_id, closed.connection.version, closed.at},
+                 now))
+      affected.push_back(fingerprint);
+  }
+  unconfirmed_close_count_ -= unconfirmed->second.size();
+  unconfirmed_closes_.erase(unconfirmed);
+  for (const Fingerprint& fingerprint : affected) {
+    const auto existing = cases_.find(fingerprint);
+    // The case may have been evicted to make room for another one of the same server.
+    if (existing == cases_.end()) continue;
+    Case& tracked = existing->second;
+    effects.updated_cases.push_back(fingerprint);
+    effects.changes.push_back(
+        {CaseChangeKind::kSuspected, fingerprint, tracked.service, tracked.crashes.size()});
+    EvaluateCase(fingerprint, tracked, now, effects);
+  }
+}
+
+void CrashTracker::Handle(const ServerResponded& event, Time, Effects&) {
+  const auto unconfirmed = unconfirmed_closes_.find(event.server_id);
+  if (unconfirmed == unconfirmed_closes_.end()) return;
+  unconfirmed_close_count_ -=
+      std::erase_if(unconfirmed->second,
+                    [&](const UnconfirmedClose& closed) { return closed.at < event.sent_at; });
+  if (unconfirmed->second.empty()) unconfirmed_closes_.erase(unconfirmed);
+}
+
+void CrashTracker::Handle(const RequestSucceeded& event, Time now, Effects& effects) {
+  if (settings_.servers == 0) return;
+  RecordSuccess(event.fingerprint, now);
+  const auto existing = cases_.find(event.fingerprint);
+  if (existing == cases_.end() || CrashCount(existing->second, event.version) == 0) return;
+  Case& tracked = existing->second;
+  AddClearance(event.fingerprint, tracked, {event.version, now});
+  UpdateDigest(event.fingerprint, tracked);
+  effects.updated_cases.push_back(event.fingerprint);
+  effects.changes.push_back({CaseChangeKind::kCleared, event.fingerprint, tracked.service, 0});
+}
+
+void CrashTracker::Handle(const Released& event, Time now, Effects& effects) {
+  const auto existing = cases_.find(event.fingerprint);
+  if (existing == cases_.end()) return;
+  Case& tracked = existing->second;
+  const std::size_t servers = tracked.crashes.size();
+  AddClearance(event.fingerprint, tracked, {"", now});
+  UpdateDigest(event.fingerprint, tracked);
+  effects.updated_cases.push_back(event.fingerprint);
+  effects.changes.push_back(
+      {CaseChangeKind::kReleased, event.fingerprint, tracked.service, servers});
+}
+
+void CrashTracker::Handle(const CasesReceived& event, Time now, Effects& effects) {
+  if (settings_.servers == 0) return;
+  for (const CaseUpdate& update : event.cases) {
+    if (!IsValid(update)) {
+      ++effects.dropped;
+      continue;
+    }
+    const auto newest_age = [&] {
+      std::int64_t age = settings_.retention.count();
+      for (const CrashReport& crash : update.crashes) age = std::min(age, crash.age_ms);
+      for (const ClearanceReport& clearance : update.clearances)
+        age = std::min(age, clearance.age_ms);
+      return age;
+    };
+    if (newest_age() >= settings_.retention.count()) continue;
+    Case* tracked = FindOrCreateCase(update.fingerprint, update.service);
+    if (tracked == nullptr) {
+      ++effects.dropped;
+      continue;
+    }
+    if (!MergeUpdate(*tracked, update, now)) continue;
+    effects.updated_cases.push_back(update.fingerprint);
+    for (const std::string& version : update.quarantined_versions)
+      if (CrashCount(*tracked, version) > 0)
+        Quarantine(update.fingerprint, *tracked, version, effects);
+    EvaluateCase(update.fingerprint, *tracked, now, effects);
+  }
+}
+
+void CrashTracker::Handle(const Tick&, Time now, Effects& effects) {
+  for (auto unconfirmed = unconfirmed_closes_.begin(); unconfirmed != unconfirmed_closes_.end();) {
+    unconfirmed_close_count_ -=
+        std::erase_if(unconfirmed->second, [&](const UnconfirmedClose& closed) {
+          return now - closed.at > settings_.confirmation_timeout;
+        });
+    unconfirmed = unconfirmed->second.empty() ? unconfirmed_closes_.erase(unconfirmed)
+                                              : std::next(unconfirmed);
+  }
+  std::vector<Fingerprint> old;
+  for (auto& [fingerprint, tracked] : cases_) {
+    Time last{};
+    for (const Crash& crash : tracked.crashes) last = std::max(last, crash.at);
+    for (const Clearance& clearance : tracked.clearances) last = std::max(last, clearance.at);
+    if (now - last >= settings_.retention)
+      old.push_back(fingerprint);
+    else
+      EvaluateCase(fingerprint, tracked, now, effects);
+  }
+  for (const Fingerprint& fingerprint : old) RemoveCase(fingerprint, effects);
+}
+
+QuarantineState CrashTracker::StateFor(const Fingerprint& fingerprint, std::string_view version,
+                                       Time now) const {
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return QuarantineState::kClear;
+  const Case& tracked = existing->second;
+  if (Contains(tracked.quarantined_versions, version)) return QuarantineState::kQuarantined;
+  const std::size_t crashes = CrashCount(tracked, version);
+  if (crashes == 0)
+    return tracked.quarantined_versions.empty() ? QuarantineState::kClear
+                                                : QuarantineState::kSuspect;
+  const bool near_threshold = crashes >= kMinCrashesToCompare && crashes + 1 >= settings_.servers;
+  if (near_threshold && now - tracked.last_crash_learned_at < settings_.propagation_time)
+    return QuarantineState::kUndecided;
+  return QuarantineState::kSuspect;
+}
+
+void CrashTracker::EvaluateCase(const Fingerprint& fingerprint, Case& tracked, Time now,
+                                Effects& effects) {
+  UpdateDigest(fingerprint, tracked);
+  if (settings_.servers == 0) return;
+  std::vector<std::string> versions;
+  for (const Crash& crash : tracked.crashes)
+    if (!Contains(versions, crash.version)) versions.push_back(crash.version);
+  for (const std::string& version : versions) {
+    if (Contains(tracked.quarantined_versions, version)) continue;
+    const std::size_t crashes = CrashCount(tracked, version);
+    const bool quarantined_for_other_version = !tracked.quarantined_versions.empty();
+    const bool evidence_propagated =
+        now - tracked.last_crash_learned_at >= settings_.propagation_time;
+    const bool has_most_crashes = crashes >= kMinCrashesToCompare &&
+                                  crashes + 1 >= settings_.servers && evidence_propagated &&
+                                  HasMoreCrashesThanNeighbors(fingerprint, tracked, version);
+    if (quarantined_for_other_version || crashes >= settings_.servers || has_most_crashes)
+      Quarantine(fingerprint, tracked, version, effects);
+  }
+}
+
+void CrashTracker::Quarantine(const Fingerprint& fingerprint, Case& tracked,
+                              const std::string& version, Effects& effects) {
+  const bool full = tracked.quarantined_versions.size() >= kMaxVersionsPerCase;
+  if (full || Contains(tracked.quarantined_versions, version)) return;
+  if (tracked.quarantined_versions.empty()) ++quarantined_;
+  tracked.quarantined_versions.push_back(version);
+  UpdateDigest(fingerprint, tracked);
+  if (effects.updated_cases.empty() || effects.updated_cases.back() != fingerprint)
+    effects.updated_cases.push_back(fingerprint);
+  effects.changes.push_back(
+      {CaseChangeKind::kQuarantined, fingerprint, tracked.service, tracked.crashes.size()});
+}
+
+bool CrashTracker::HasMoreCrashesThanNeighbors(const Fingerprint& fingerprint, const Case& tracked,
+                                               const std::string& version) const {
+  const std::size_t own_crashes = CrashCount(tracked, version);
+  for (const Crash& crash : tracked.crashes) {
+    const auto neighbors = cases_by_server_.find(crash.server_id);
+    if (crash.version != version || neighbors == cases_by_server_.end()) continue;
+    for (const Fingerprint& other : neighbors->second) {
+      const auto existing = cases_.find(other);
+      if (other == fingerprint || existing == cases_.end()) continue;
+      // A neighbor that is quarantined explains the crash; a neighbor with as many crashes leaves
+      // the cause undecided.
+      const bool quarantined = Contains(existing->second.quarantined_versions, version);
+      if (quarantined || CrashCount(existing->second, version) >= own_crashes) return false;
+    }
+  }
+  return true;
+}
+
+bool CrashTracker::AddCrash(const Fingerprint& fingerprint, Case& tracked, Crash crash, Time now) {
+  for (const Clearance& clearance : tracked.clearances)
+    if ((clearance.version.empty() || clearance.version == crash.version) &&
+        clearance.at >= crash.at)
+      return false;
+  for (Crash& existing : tracked.crashes) {
+    if (existing.server_id != crash.server_id) continue;
+    existing.at = std::min(existing.at, crash.at);
+    return false;
+  }
+  if (tracked.crashes.size() >= kMaxCrashesPerCase) return false;
+  cases_by_server_[crash.server_id].push_back(fingerprint);
+  tracked.crashes.push_back(std::move(crash));
+  tracked.last_crash_learned_at = now;
+  return true;
+}
+
+bool CrashTracker::AddClearance(const Fingerprint& fingerprint, Case& tracked,
+                                const Clearance& clearance) {
+  const auto same_version = [&](const Clearance& existing) {
+    return existing.version == clearance.version;
+  };
+  const auto existing =
+      std::find_if(tracked.clearances.begin(), tracked.clearances.end(), same_version);
+  // The transit time of a message makes the same clearance look newer.
+  constexpr Milliseconds kTransitTolerance{1'000};
+  const bool new_version = existing == tracked.clearances.end();
+  if (!new_version && clearance.at <= existing->at + kTransitTolerance) return false;
+  if (!new_version)
+    existing->at = clearance.at;
+  else if (tracked.clearances.size() < kMaxVersionsPerCase)
+    tracked.clearances.push_back(clearance);
+  RemoveClearedEvidence(fingerprint, tracked, clearance);
+  return true;
+}
+
+void CrashTracker::RemoveClearedEvidence(const Fingerprint& fingerprint, Case& tracked,
+                                         const Clearance& clearance) {
+  const auto covers = [&](const std::string& version) {
+    return clearance.version.empty() || clearance.version == version;
+  };
+  std::erase_if(tracked.crashes, [&](const Crash& crash) {
+    const bool cleared = covers(crash.version) && crash.at <= clearance.at;
+    if (cleared) RemoveFromServerIndex(fingerprint, crash.server_id);
+    return cleared;
+  });
+  const bool was_quarantined = !tracked.quarantined_versions.empty();
+  std::erase_if(tracked.quarantined_versions, [&](const std::string& version) {
+    return covers(version) && CrashCount(tracked, version) == 0;
+  });
+  if (was_quarantined && tracked.quarantined_versions.empty()) --quarantined_;
+}
+
+bool CrashTracker::MergeUpdate(Case& tracked, const CaseUpdate& update, Time now) {
+  bool changed = false;
+  for (const ClearanceReport& each : update.clearances) {
+    const Clearance clearance{each.version, now - Milliseconds(each.age_ms)};
+    changed = AddClearance(update.fingerprint, tracked, clearance) || changed;
+  }
+  for (const CrashReport& each : update.crashes) {
+    if (each.age_ms >= settings_.retention.count()) continue;
+    const Crash crash{each.server_id, each.version, now - Milliseconds(each.age_ms)};
+    changed = AddCrash(update.fingerprint, tracked, crash, now) || changed;
+  }
+  for (const std::string& version : update.quarantined_versions) {
+    const bool counts = CrashCount(tracked, version) > 0;
+    changed = changed || (counts && !Contains(tracked.quarantined_versions, version));
+  }
+  return changed;
+}
+
+bool CrashTracker::IsValid(const CaseUpdate& update) {
+  if (update.service.empty() || !HasValidLength(update.service)) return false;
+  if (update.crashes.size() > kMaxCrashesPerCase ||
+      update.clearances.size() > kMaxVersionsPerCase ||
+      update.quarantined_versions.size() > kMaxVersionsPerCase)
+    return false;
+  const auto valid_crash = [](const CrashReport& crash) {
+    return !crash.server_id.empty() && HasValidLength(crash.server_id) &&
+           HasValidLength(crash.version) && crash.age_ms >= 0;
+  };
+  const auto valid_clearance = [](const ClearanceReport& clearance) {
+    return clearance.age_ms >= 0 && HasValidLength(clearance.version);
+  };
+  return std::all_of(update.crashes.begin(), update.crashes.end(), valid_crash) &&
+         std::all_of(update.clearances.begin(), update.clearances.end(), valid_clearance) &&
+         std::all_of(update.quarantined_versions.begin(), update.quarantined_versions.end(),
+                     HasValidLength);
+}
+
+CrashTracker::Case* CrashTracker::FindOrCreateCase(const Fingerprint& fingerprint,
+                                                   const std::string& service) {
+  const auto existing = cases_.find(fingerprint);
+  if (existing != cases_.end()) return &existing->second;
+  if (cases_.size() >= settings_.max_cases && !EvictOldestCase()) return nullptr;
+  Case& created = cases_[fingerprint];
+  created.service = service;
+  return &created;
+}
+
+/// Evicts the oldest case among a few candidates that is not quarantined. Examining every case
+/// would let a client that sends many crashing requests exhaust the CPU. @return whether a case was
+/// evicted.
+bool CrashTracker::EvictOldestCase() {
+  constexpr std::size_t kMaxExamined = 64;
+  const Fingerprint* oldest = nullptr;
+  Time oldest_at = Time::max();
+  std::size_t examined = 0;
+  for (const auto& [fingerprint, tracked] : cases_) {
+    if (++examined > kMaxExamined) break;
+    if (!tracked.quarantined_versions.empty() || tracked.last_crash_learned_at >= oldest_at)
+      continue;
+    oldest = &fingerprint;
+    oldest_at = tracked.last_crash_learned_at;
+  }
+  if (oldest == nullptr) return false;
+  Effects ignored;
+  RemoveCase(Fingerprint(*oldest), ignored);
+  return true;
+}
+
+void CrashTracker::RemoveCase(const Fingerprint& fingerprint, Effects& effects) {
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return;
+  Case& tracked = existing->second;
+  for (const Crash& crash : tracked.crashes) RemoveFromServerIndex(fingerprint, crash.server_id);
+  if (!tracked.quarantined_versions.empty()) {
+    --quarantined_;
+    effects.changes.push_back(
+        {CaseChangeKind::kForgotten, fingerprint, tracked.service, tracked.crashes.size()});
+  }
+  digest_ ^= tracked.digest_part;
+  cases_.erase(existing);
+}
+
+void CrashTracker::RemoveFromServerIndex(const Fingerprint& fingerprint,
+                                         const std::string& server_id) {
+  const auto neighbors = cases_by_server_.find(server_id);
+  if (neighbors == cases_by_server_.end()) return;
+  std::erase(neighbors->second, fingerprint);
+  if (neighbors->second.empty()) cases_by_server_.erase(neighbors);
+}
+
+void CrashTracker::UpdateDigest(const Fingerprint& fingerprint, Case& tracked) {
+  digest_ ^= tracked.digest_part;
+  tracked.digest_part = 0;
+  const bool in_digest = !tracked.quarantined_versions.empty() ||
+                         tracked.crashes.size() >= kMinCrashesToCompare ||
+                         !tracked.clearances.empty();
+  if (!in_digest) return;
+  std::vector<std::string> parts;
+  for (const Crash& crash : tracked.crashes) parts.push_back("c" + crash.server_id);
+  for (const std::string& version : tracked.quarantined_versions) parts.push_back("q" + version);
+  for (const Clearance& clearance : tracked.clearances) parts.push_back("l" + clearance.version);
+  std::sort(parts.begin(), parts.end());
+  std::string text(reinterpret_cast<const char*>(fingerprint.bytes.data()),
+                   fingerprint.bytes.size());
+  for (const std::string& part : parts) text += part + '\n';
+  tracked.digest_part = XXH64(text.data(), text.size(), 0);
+  digest_ ^= tracked.digest_part;
+}
+
+bool CrashTracker::SucceededRecently(const Fingerprint& fingerprint, Time now) const {
+  const auto success = recent_successes_.find(fingerprint);
+  return success != recent_successes_.end() &&
+         now - success->second < settings_.recent_success_window;
+}
+
+void CrashTracker::RecordSuccess(const Fingerprint& fingerprint, Time now) {
+  const bool existing = !recent_successes_.insert_or_assign(fingerprint, now).second;
+  if (existing) return;
+  recent_success_order_.push_back(fingerprint);
+  if (recent_success_order_.size() <= kMaxRecentSuccesses) return;
+  recent_successes_.erase(recent_success_order_.front());
+  recent_success_order_.pop_front();
+}
+
+CaseUpdate CrashTracker::ExportCase(const Fingerprint& fingerprint, Time now) const {
+  CaseUpdate update;
+  update.fingerprint = fingerprint;
+  const auto existing = cases_.find(fingerprint);
+  if (existing == cases_.end()) return update;
+  const Case& tracked = existing->second;
+  update.service = tracked.service;
+  for (const Crash& crash : tracked.crashes)
+    update.crashes.push_back({crash.server_id, crash.version, AgeMs(crash.at, now)});
+  for (const Clearance& clearance : tracked.clearances)
+    update.clearances.push_back({clearance.version, AgeMs(clearance.at, now)});
+  update.quarantined_versions = tracked.quarantined_versions;
+  return update;
+}
+
+std::vector<ListedCase> CrashTracker::List(Time now) const {
+  std::vector<ListedCase> listed;
+  for (const auto& [fingerprint, tracked] : cases_) {
+    if (tracked.quarantined_versions.empty()) continue;
+    Time last{};
+    for (const Crash& crash : tracked.crashes) last = std::max(last, crash.at);
+    const auto time_left =
+        std::chrono::duration_cast<Milliseconds>(last + settings_.retention - now);
+    listed.push_back({fingerprint, tracked.service, tracked.crashes.size(),
+                      tracked.quarantined_versions, std::max(Milliseconds(0), time_left)});
+  }
+  std::sort(listed.begin(), listed.end(), [](const ListedCase& a, const ListedCase& b) {
+    return a.time_left != b.time_left ? a.time_left > b.time_left : a.fingerprint < b.fingerprint;
+  });
+  return listed;
+}
+
+std::vector<Fingerprint> CrashTracker::NextCasesToSync(std::size_t max_count,
+                                                       std::size_t& cursor) const {
+  std::vector<Fingerprint> all;
+  for (const auto& [fingerprint, tracked] : cases_)
+    if (tracked.digest_part != 0) all.push_back(fingerprint);
+  std::sort(all.begin(), all.end());
+  std::vector<Fingerprint> some;
+  for (std::size_t taken = 0; taken < std::min(max_count, all.size()); ++taken)
+    some.push_back(all[cursor++ % all.size()]);
+  return some;
+}
+
+}  // namespace moorfold::quarantine
--- a/test/gateway/pipeline_fixture.h
+++ b/test/gateway/pipeline_fixture.h
@@ -155,10 +155,10 @@
   /// @return permit ports of a fleet whose only daemon is the leader.
   static PermitService::Ports SingleDaemonPermitPorts() {
     PermitService::Ports ports;
-    ports.ask = [](const std::string&, const PermitQuestion&) {};
-    ports.answer = [](const std::string&, const PermitAnswer&) {};
+    ports.ask = [](const std::string&, const PermitRequest&) {};
+    ports.answer = [](const std::string&, const PermitResponse&) {};
     ports.leader = [] { return std::string("self"); };
-    ports.role = [] { return limits::PoolRole::kLeader; };
+    ports.role = [] { return limits::AllocatorRole::kLeader; };
     ports.daemons = [] { return 1U; };
     return ports;
   }
