--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -82,11 +82,11 @@
     handlers_.credit_answered(*granted, from);
   } else if (const auto* plan = std::get_if<RelayPlan>(&message)) {
     handlers_.planned(*plan, from);
-  } else if (const auto* servers = std::get_if<ServersQuestion>(&message)) {
+  } else if (const auto* servers = std::get_if<ServersRequest>(&message)) {
     handlers_.servers_asked(*servers, from);
   } else if (const auto* page = std::get_if<ServersPage>(&message)) {
     handlers_.servers_answered(*page, from);
-  } else if (const auto* text = std::get_if<ConfigurationQuestion>(&message)) {
+  } else if (const auto* text = std::get_if<ConfigurationRequest>(&message)) {
     handlers_.configuration_asked(*text, from);
   } else if (const auto* part = std::get_if<ConfigurationPart>(&message)) {
     handlers_.configuration_answered(*part, from);
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -38,10 +38,10 @@
   /// @param from "IP:PORT" of the sender.
   using RelayPlanHandler = std::function<void(const RelayPlan&, const std::string& from)>;
   using ServersQuestionHandler =
-      std::function<void(const ServersQuestion&, const std::string& from)>;
+      std::function<void(const ServersRequest&, const std::string& from)>;
   using ServersPageHandler = std::function<void(const ServersPage&, const std::string& from)>;
   using ConfigurationQuestionHandler =
-      std::function<void(const ConfigurationQuestion&, const std::string& from)>;
+      std::function<void(const ConfigurationRequest&, const std::string& from)>;
   using ConfigurationPartHandler =
       std::function<void(const ConfigurationPart&, const std::string& from)>;
   /// @param from "IP:PORT" of the sender.
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -69,11 +69,11 @@
   double strength = 0;         ///< Of the sender's machine: share of a core.
   bool stopping = false;       ///< The sender is at a planned stop.
   std::vector<DemandEntry> entries;
-  std::vector<std::string> unreachable;    ///< Servers to which no connection came up lately.
-  std::optional<ChangeQuestion> question;  ///< What has changed in the store; in the last part.
-  std::uint64_t quarantine_digest = 0;     ///< Of the sender's case book.
-  std::uint16_t format = kMessageFormat;   ///< In which the sender's build writes.
-  ZoneId zone = 0;                         ///< Of the sender; 0: not told. An added field.
+  std::vector<std::string> unreachable;   ///< Servers to which no connection came up lately.
+  std::optional<ChangeRequest> question;  ///< What has changed in the store; in the last part.
+  std::uint64_t quarantine_digest = 0;    ///< Of the sender's case book.
+  std::uint16_t format = kMessageFormat;  ///< In which the sender's build writes.
+  ZoneId zone = 0;                        ///< Of the sender; 0: not told. An added field.
   /// Number of the newest plan of relays that the sender knows; nothing from a build that knows no
   /// relays. An added field.
   std::optional<std::int64_t> relay_plan;
@@ -114,7 +114,7 @@
 /// build that does not know the last two leaves them alone, and questions without an answer.
 using FleetMessage = std::variant<DemandReport, PlacementNotice, ChangeAnswer, LeadershipOffer,
                                   QuarantineNotice, CreditSharing, CreditQuestion, CreditAnswer,
-                                  RelayPlan, ServersQuestion, ServersPage, ConfigurationQuestion,
+                                  RelayPlan, ServersRequest, ServersPage, ConfigurationRequest,
                                   ConfigurationPart, PermitQuestion, PermitAnswer>;
 
 template <typename Archive>
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -133,13 +133,13 @@
                   else
                     NoteDropped("a plan of relays that is not the leader's", from);
                 },
-                [this](const ServersQuestion& question, const std::string& from) {
+                [this](const ServersRequest& question, const std::string& from) {
                   relays_.AnswerServersQuestion(question, from);
                 },
                 [this](const ServersPage& page, const std::string& from) {
                   relays_.TakeServersPage(page, from);
                 },
-                [this](const ConfigurationQuestion& question, const std::string& from) {
+                [this](const ConfigurationRequest& question, const std::string& from) {
                   relays_.AnswerConfigurationQuestion(question, from);
                 },
                 [this](const ConfigurationPart& part, const std::string& from) {
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -165,7 +165,7 @@
 }
 
 void Gateway::AnswerQuestion(const DemandReport& report) {
-  const ChangeQuestion& question = *report.question;
+  const ChangeRequest& question = *report.question;
   ChangeAnswer answer;
   if (election_.leading() || relays_.IsRelay()) {
     const std::uint32_t daemons = election_.leading() ? Daemons() : relays_.plan().daemons;
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -142,7 +142,7 @@
   return BootClock::now() - leader_told_at_ < kLeaderTold ? leader_told_ : std::string();
 }
 
-void RelayService::AnswerServersQuestion(const ServersQuestion& question, const std::string& from) {
+void RelayService::AnswerServersQuestion(const ServersRequest& question, const std::string& from) {
   ++metrics_.servers_pages_sent;
   ports_.send(from, view_.Page(question));
 }
@@ -170,7 +170,7 @@
   }
 }
 
-void RelayService::AnswerConfigurationQuestion(const ConfigurationQuestion& question,
+void RelayService::AnswerConfigurationQuestion(const ConfigurationRequest& question,
                                                const std::string& from) {
   if (const std::optional<ConfigurationPart> part = view_.Part(question)) ports_.send(from, *part);
 }
@@ -186,11 +186,11 @@
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
-  if (const std::optional<ServersQuestion> servers = view_.ServersQuestionDue()) {
+  if (const std::optional<ServersRequest> servers = view_.ServersQuestionDue()) {
     sources_.Asked(now);
     ports_.send(relay, *servers);
   }
-  if (const std::optional<ConfigurationQuestion> text = view_.ConfigurationQuestionDue())
+  if (const std::optional<ConfigurationRequest> text = view_.ConfigurationQuestionDue())
     ports_.send(relay, *text);
   if (!view_.PullsServers() && !view_.PullsConfiguration()) return;
   pull_timer_.expires_after(kPullAgain);
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -65,9 +65,9 @@
   /// A relay has answered that.
   /// @return whether it is one that may be believed.
   bool TakeAnswer(const ChangeAnswer& answer, const std::string& from);
-  void AnswerServersQuestion(const ServersQuestion& question, const std::string& from);
+  void AnswerServersQuestion(const ServersRequest& question, const std::string& from);
   void TakeServersPage(const ServersPage& page, const std::string& from);
-  void AnswerConfigurationQuestion(const ConfigurationQuestion& question, const std::string& from);
+  void AnswerConfigurationQuestion(const ConfigurationRequest& question, const std::string& from);
   void TakeConfigurationPart(const ConfigurationPart& part, const std::string& from);
   /// Asks for what is to be taken from a relay and was not asked for, or was not answered.
   void Pull();
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -38,7 +38,7 @@
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
   const bool back = removals_.erase(record.id) > 0;
-  if (known == nullptr || back || !SameForRequests(known->record(), record))
+  if (known == nullptr || back || !EqualForRouting(known->record(), record))
     changes_.Note(record.id, revision, false);
   const std::string id = record.id;
   const Departed* departed = known == nullptr ? FindDeparted(record) : nullptr;
--- a/src/gateway/servers_page.cc
+++ b/src/gateway/servers_page.cc
@@ -11,7 +11,7 @@
   for (auto next = all.upper_bound(page.after); next != all.end(); ++next) {
     ServerChange server{{}, false, next->second->record()};
     bytes += EncodedBytes(server);
-    page.more = bytes > kMostServersBytes && !page.servers.empty();
+    page.more = bytes > kMaxServersBytes && !page.servers.empty();
     if (page.more) break;
     page.last = next->first;
     page.servers.push_back(std::move(server));
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -76,7 +76,7 @@
 }
 
 void StoreView::NoteEra(std::int64_t era) {
-  Decide(follow::EraTold{era});
+  Decide(follow::EraObserved{era});
   ReadWhenDue();
 }
 
@@ -98,7 +98,7 @@
 
 void StoreView::SetWatching(bool watches) {
   if (watches == state_.watches) return;
-  Decide(follow::RoleTaken{watches});
+  Decide(follow::RoleChanged{watches});
   ReadWhenDue();
 }
 
@@ -136,7 +136,7 @@
     case follow::ReadKind::kConfiguration:
       ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::TakeConfigurationRead);
       break;
-    case follow::ReadKind::kToldConfiguration:
+    case follow::ReadKind::kAnnouncedConfiguration:
       reading_version_ = told_version_;
       ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::TakeConfigurationRead,
                 ReadConsistency::kPossiblyStale);
@@ -230,7 +230,7 @@
   listing_new_era_ = state_.listed && listing.revision.era > known.era;
   if (listing_new_era_) servers_.BeginGrace();
   if (state_.listed)
-    changes_.NoteListing(known, listing.revision);
+    changes_.RecordListing(known, listing.revision);
   else
     changes_.Restart(listing.revision);
   std::unordered_set<std::string> listed;
@@ -248,7 +248,7 @@
   for (const KeyValue& entry : listing.entries) TakeEntry(entry);
   follow::ReadEnded ended{listing.revision, BytesOf(listing.entries), std::nullopt};
   ended.outdated =
-      state_.reading == follow::ReadKind::kToldConfiguration && Version() < reading_version_;
+      state_.reading == follow::ReadKind::kAnnouncedConfiguration && Version() < reading_version_;
   if (ended.outdated) ++metrics_.outdated_reads;
   Decide(ended);
 }
@@ -476,7 +476,7 @@
   const bool unanswered = failure.fault == PlatformFault::kNoAnswer;
   const bool history_gone = failure.fault == PlatformFault::kRejected;
   Decide(follow::ReadFailed{retry_pause_, unanswered, history_gone});
-  const Milliseconds longest = follow::LongestPause(settings_, state_, BootClock::now());
+  const Milliseconds longest = follow::MaxRetryDelay(settings_, state_, BootClock::now());
   retry_pause_ =
       retry_pause_ >= settings_.longest_pause ? longest : std::min(longest, retry_pause_ * 2);
   ReadWhenDue();
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -50,10 +50,10 @@
   /// Whether other daemons follow this one: it reads the store more often then.
   void SetWatching(bool watches);
   /// @return what to ask the watcher, once the store was listed.
-  std::optional<ChangeQuestion> Question() const;
+  std::optional<ChangeRequest> Question() const;
   /// @param daemons in the fleet, as far as known. @pre this daemon watches.
   /// @param parts whether the asker takes parts of what has changed.
-  ChangeAnswer Answer(const ChangeQuestion& question, std::uint32_t daemons, bool parts) const;
+  ChangeAnswer Answer(const ChangeRequest& question, std::uint32_t daemons, bool parts) const;
   /// Some other call of the store, or another daemon, has told of this era.
   void NoteEra(std::int64_t era);
   /// Takes over what a watcher has answered.
@@ -67,14 +67,14 @@
   bool WaitsForServers() const { return state_.begun && !state_.listed; }
   /// @return the question to a relay that is to be sent now, where all servers are to be taken from
   /// one.
-  std::optional<ServersQuestion> ServersQuestionDue();
+  std::optional<ServersRequest> ServersQuestionDue();
   /// @return whether the last read of the store was answered, or none has been.
   bool StoreInTouch() const { return failed_reads_ == 0; }
   /// @return the question to a relay for a part of the configuration, where it is to be taken from
   /// one.
-  std::optional<ConfigurationQuestion> ConfigurationQuestionDue();
+  std::optional<ConfigurationRequest> ConfigurationQuestionDue();
   /// @return that part; nothing where this daemon holds no such configuration.
-  std::optional<ConfigurationPart> Part(const ConfigurationQuestion& question) const;
+  std::optional<ConfigurationPart> Part(const ConfigurationRequest& question) const;
   /// Takes over what a relay has answered.
   void TakePart(const ConfigurationPart& part);
   /// @return whether parts of a configuration are asked for.
@@ -82,7 +82,7 @@
   /// @return whether pages of a relay are asked for.
   bool PullsServers() const { return snapshot_.running(); }
   /// @return the page asked for, of what this daemon knows.
-  ServersPage Page(const ServersQuestion& question) const;
+  ServersPage Page(const ServersRequest& question) const;
   /// Takes over what a relay has answered.
   /// @param from "IP:PORT" of the relay.
   /// @return whether it was a page that was asked for.
@@ -93,7 +93,7 @@
 
   /// @return whether others may rely on what is known here.
   bool Serves() const {
-    const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationKept();
+    const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationIsCurrent();
     return whole && (state_.watches || serves_);
   }
   /// @return whether relayed changes are to be taken over.
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-std::optional<ChangeQuestion> StoreView::Question() const {
+std::optional<ChangeRequest> StoreView::Question() const {
   if (!state_.listed) return std::nullopt;
-  return ChangeQuestion{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
+  return ChangeRequest{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
 }
 
-ChangeAnswer StoreView::Answer(const ChangeQuestion& question, std::uint32_t daemons,
+ChangeAnswer StoreView::Answer(const ChangeRequest& question, std::uint32_t daemons,
                                bool parts) const {
   ChangeAnswer answer;
   answer.asked_at_us = question.asked_at_us;
@@ -48,19 +48,19 @@
 
 void StoreView::SetRelays(bool named) {
   const bool reading = state_.reading_since.has_value();
-  Decide(follow::RelaysTold{named});
+  Decide(follow::RelaysChanged{named});
   if (reading && !state_.reading_since) read_wanted_.reset();
   ReadWhenDue();
 }
 
-std::optional<ServersQuestion> StoreView::ServersQuestionDue() {
+std::optional<ServersRequest> StoreView::ServersQuestionDue() {
   const bool wanted = follow::WantsServers(state_);
   if (!wanted) snapshot_.Stop();
   if (wanted && !snapshot_.running()) snapshot_.Begin();
   return snapshot_.Due(BootClock::now());
 }
 
-ServersPage StoreView::Page(const ServersQuestion& question) const {
+ServersPage StoreView::Page(const ServersRequest& question) const {
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
   page.after = question.after;
@@ -100,7 +100,7 @@
   return taken;
 }
 
-std::optional<ConfigurationQuestion> StoreView::ConfigurationQuestionDue() {
+std::optional<ConfigurationRequest> StoreView::ConfigurationQuestionDue() {
   if (follow::WantsConfiguration(state_) && told_version_ > Version())
     configuration_reader_.Want(told_version_);
   else
@@ -108,7 +108,7 @@
   return configuration_reader_.Due(BootClock::now());
 }
 
-std::optional<ConfigurationPart> StoreView::Part(const ConfigurationQuestion& question) const {
+std::optional<ConfigurationPart> StoreView::Part(const ConfigurationRequest& question) const {
   if (question.version != Version()) return std::nullopt;
   return PartOf(configuration_text_, configuration_entry_revision_, question);
 }
@@ -129,7 +129,7 @@
 
 void StoreView::EndSnapshot() {
   if (state_.listed)
-    changes_.NoteListing(state_.revision, snapshot_.revision());
+    changes_.RecordListing(state_.revision, snapshot_.revision());
   else
     changes_.Restart(snapshot_.revision());
   Decide(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-bool SameForRequests(const ServerRecord& left, const ServerRecord& right) {
+bool EqualForRouting(const ServerRecord& left, const ServerRecord& right) {
   return left.life == right.life && left.service == right.service &&
          left.endpoint == right.endpoint && left.zone == right.zone &&
          left.software_version == right.software_version && left.slots == right.slots &&
@@ -54,7 +54,7 @@
   for (const ChangeLog::Change& change : changes.Since(answer.from_revision)) {
     ServerChange told = Describe(change, find_record);
     bytes += EncodedBytes(told);
-    if (bytes > kMostServersBytes) {
+    if (bytes > kMaxServersBytes) {
       EndAtWholeRevision(answer.servers, change.revision);
       answer.partial = parts && !answer.servers.empty();
       answer.gap = !answer.partial;
--- a/src/relay/change_answer.h
+++ b/src/relay/change_answer.h
@@ -13,7 +13,7 @@
 
 /// Of servers in one answer: a datagram is lost whole when a part of it is lost, and the channel
 /// carries 8 kB.
-inline constexpr std::size_t kMostServersBytes = 7'000;
+inline constexpr std::size_t kMaxServersBytes = 7'000;
 /// @return an upper bound of what a change takes in a message.
 std::size_t EncodedBytes(const ServerChange& change);
 
@@ -27,6 +27,6 @@
                  bool parts);
 
 /// @return whether nothing that a request's path needs differs: then a change is not relayed.
-bool SameForRequests(const ServerRecord& left, const ServerRecord& right);
+bool EqualForRouting(const ServerRecord& left, const ServerRecord& right);
 
 }  // namespace moorfold
--- a/src/relay/change_log.cc
+++ b/src/relay/change_log.cc
@@ -43,7 +43,7 @@
   if (started_) newest_ = std::max(newest_, revision);
 }
 
-void ChangeLog::NoteListing(StoreRevision from, StoreRevision to) {
+void ChangeLog::RecordListing(StoreRevision from, StoreRevision to) {
   // A newest revision of another era would tell followers that they know all of this one.
   if (started_ && to.era > newest_.era) Restart(to);
   Advance(to);
--- a/src/relay/change_log.h
+++ b/src/relay/change_log.h
@@ -30,7 +30,7 @@
   /// differs is noted, but a server that came and went in between was never seen: whoever knows
   /// more than `from` and less than `to` may know it, and cannot be told that it is gone. Where
   /// `to` is of a later era the log begins anew: what was written in the earlier one may be gone.
-  void NoteListing(StoreRevision from, StoreRevision to);
+  void RecordListing(StoreRevision from, StoreRevision to);
   void Note(const std::string& server_id, StoreRevision revision, bool gone);
   /// All changes up to `revision` have been noted.
   void Advance(StoreRevision revision);
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationQuestion& question) {
+                                        const ConfigurationRequest& question) {
   const std::size_t begin = question.part * kPartBytes;
   if (begin >= text.size()) return std::nullopt;
   ConfigurationPart part;
@@ -39,11 +39,11 @@
   version_ = version;
 }
 
-std::optional<ConfigurationQuestion> ConfigurationReader::Due(Time now) {
+std::optional<ConfigurationRequest> ConfigurationReader::Due(Time now) {
   if (!running()) return std::nullopt;
   if (asked_at_ != Time{} && now - asked_at_ < kAskAgain) return std::nullopt;
   asked_at_ = now;
-  return ConfigurationQuestion{version_, next_part_};
+  return ConfigurationRequest{version_, next_part_};
 }
 
 std::optional<ConfigurationReader::Text> ConfigurationReader::Take(const ConfigurationPart& part) {
--- a/src/relay/configuration_reader.h
+++ b/src/relay/configuration_reader.h
@@ -12,7 +12,7 @@
 /// @return the part of the text that is asked for; nothing where it has no such part.
 /// @param revision of the store's entry with this text.
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationQuestion& question);
+                                        const ConfigurationRequest& question);
 
 /// Asks relays for the text of one version of the configuration, part by part. Only a text that is
 /// whole, by the digest that each part tells, is taken for it. Pure; one thread.
@@ -30,7 +30,7 @@
   void Stop() { *this = ConfigurationReader(); }
   bool running() const { return version_ >= 0; }
   /// @return the question that is to be sent now, if any.
-  std::optional<ConfigurationQuestion> Due(Time now);
+  std::optional<ConfigurationRequest> Due(Time now);
   /// @return the text, with its last part.
   std::optional<Text> Take(const ConfigurationPart& part);
 
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -14,7 +14,7 @@
 }
 
 bool ShowsServers(ReadKind kind) {
-  return kind != ReadKind::kConfiguration && kind != ReadKind::kToldConfiguration;
+  return kind != ReadKind::kConfiguration && kind != ReadKind::kAnnouncedConfiguration;
 }
 bool ShowsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
 /// @return whether the answer is what is now, not what has changed.
@@ -29,7 +29,7 @@
   // Whatever was heard before, this read will show.
   if (ShowsServers(read.kind)) state.urgent = false;
   if (ShowsConfiguration(read.kind)) state.configuration_wanted = false;
-  if (read.kind == ReadKind::kToldConfiguration) state.reading_told = *state.told;
+  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_told = *state.told;
 }
 
 void TakeServers(State& state, const ReadEnded& read, Time since) {
@@ -44,7 +44,7 @@
   state.changes_unread = false;
 }
 
-void TakeTold(State& state, const ToldConfiguration& told) {
+void TakeTold(State& state, const AnnouncedConfiguration& told) {
   state.configuration_revision = std::max(state.configuration_revision, told.revision);
   state.configuration_at = std::max(state.configuration_at, told.current_at);
 }
@@ -58,7 +58,7 @@
 }
 
 void TakeConfiguration(State& state, const ReadEnded& read, Time since) {
-  if (state.reading == ReadKind::kToldConfiguration) {
+  if (state.reading == ReadKind::kAnnouncedConfiguration) {
     TakeTold(state, read);
     return;
   }
@@ -84,13 +84,13 @@
   state.not_before = now + failure.pause;
   if (ShowsServers(state.reading)) state.urgent = true;
   if (ShowsConfiguration(state.reading)) state.configuration_wanted = true;
-  if (state.reading == ReadKind::kToldConfiguration) state.told_missed = true;
+  if (state.reading == ReadKind::kAnnouncedConfiguration) state.told_missed = true;
   if (changes && (failure.unanswered || failure.history_gone)) state.changes_unread = true;
   if (state.reading == ReadKind::kListing && failure.unanswered) state.narrow = true;
 }
 
 /// What the changes since an earlier era's revision are cannot be asked for.
-void Take(State& state, const EraTold& told) {
+void Take(State& state, const EraObserved& told) {
   if (!state.listed || told.era <= state.revision.era) return;
   state.urgent = true;
   state.changes_unread = true;
@@ -101,7 +101,7 @@
   if (newer) {
     if (!state.configuration_wanted) state.wanted_since = now;
     state.configuration_wanted = true;
-    state.told = ToldConfiguration{revision, at};
+    state.told = AnnouncedConfiguration{revision, at};
     return;
   }
   // Unless a later answer, which overtook this one, told of a configuration.
@@ -122,7 +122,7 @@
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (!state.listed || listing) return false;
   const bool other_era = answer.to_revision.era != state.revision.era;
-  if (!answer.retired && other_era) Take(state, EraTold{answer.to_revision.era});
+  if (!answer.retired && other_era) Take(state, EraObserved{answer.to_revision.era});
   const bool gap = answer.gap || other_era || answer.from_revision > state.revision;
   if (answer.retired || gap) {
     state.urgent = true;  // A read from the present revision brings what is missing.
@@ -166,7 +166,7 @@
   state.servers_not_before = now + settings.listing_patience;
 }
 
-void Take(const Settings& settings, State& state, const RelaysTold& relays, Time now) {
+void Take(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
   if (relays.named && !state.relayed) {
     state.relayed_since = now;
     LeaveListing(settings, state, now);
@@ -253,11 +253,11 @@
     Take(decision.state, *failed, now);
   else if (const auto* relayed = std::get_if<Relayed>(&event))
     decision.apply = Take(decision.state, *relayed, now);
-  else if (const auto* told = std::get_if<EraTold>(&event))
+  else if (const auto* told = std::get_if<EraObserved>(&event))
     Take(decision.state, *told);
   else if (const auto* page = std::get_if<FirstPageEnded>(&event))
     TakeFirstPage(settings, decision.state, *page, now);
-  else if (const auto* relays = std::get_if<RelaysTold>(&event))
+  else if (const auto* relays = std::get_if<RelaysChanged>(&event))
     Take(settings, decision.state, *relays, now);
   else if (const auto* servers = std::get_if<ServersPageTaken>(&event))
     Take(decision.state, *servers, now);
@@ -266,7 +266,7 @@
   else if (const auto* taken = std::get_if<ServersTaken>(&event))
     Take(decision.state, *taken);
   else
-    decision.state.watches = std::get<RoleTaken>(event).watches;
+    decision.state.watches = std::get<RoleChanged>(event).watches;
   return decision;
 }
 
@@ -280,7 +280,7 @@
   return std::max(due, state.not_before);
 }
 
-Milliseconds LongestPause(const Settings& settings, const State& state, Time now) {
+Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now) {
   const bool heard = now - state.watcher_heard_at < settings.watcher_silence;
   const bool watcher_behind = now - state.watcher_current_at > settings.longest_age;
   const bool together = !state.watches && heard && watcher_behind;
@@ -301,11 +301,12 @@
   const bool servers = LeavesServers(state) ? now >= ServersDue(settings, state)
                                             : !state.listed || state.urgent || old;
   const bool told = state.told && state.told->revision > state.configuration_revision;
-  if (!servers && told && !state.told_missed) return ReadKind::kToldConfiguration;
+  if (!servers && told && !state.told_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
   if (state.narrow) return ReadKind::kServers;
   // Changes since a revision that was relayed leave out configurations before it.
-  const bool changes_show_all = state.listed && !state.changes_unread && state.ConfigurationKept();
+  const bool changes_show_all =
+      state.listed && !state.changes_unread && state.ConfigurationIsCurrent();
   // What changed while relays were followed was never measured: a listing is bounded.
   const bool measured = !state.relayed || state.watches;
   if (!changes_show_all || !measured || ListingIsSmaller(state, now)) return ReadKind::kListing;
--- a/src/relay/follow_state.h
+++ b/src/relay/follow_state.h
@@ -79,7 +79,7 @@
   kConfiguration,  ///< The newest configuration.
   /// The configuration whose version a watcher told: the store may answer from an older state, at
   /// less cost, since the version shows whether it did.
-  kToldConfiguration
+  kAnnouncedConfiguration
 };
 
 /// @return a word for metrics and logs.
@@ -93,14 +93,14 @@
       return "servers";
     case ReadKind::kConfiguration:
       return "configuration";
-    case ReadKind::kToldConfiguration:
+    case ReadKind::kAnnouncedConfiguration:
       return "told_configuration";
   }
   return "unknown";
 }
 
 /// A configuration that a watcher knows to be the newest of a moment.
-struct ToldConfiguration {
+struct AnnouncedConfiguration {
   StoreRevision revision;  ///< No newer one existed up to this revision of the store ..
   Time current_at{};       ///< .. and at this time.
 };
@@ -117,9 +117,9 @@
   bool urgent = false;                ///< There is a reason to read before `current_at` is too old.
   bool configuration_wanted = false;  ///< There is a configuration that is not known.
   Time wanted_since{};                ///< Since when that was told.
-  std::optional<ToldConfiguration> told;  ///< Which is wanted, if a watcher told of it.
-  ToldConfiguration reading_told;         ///< Of the read under way.
-  bool told_missed = false;               ///< The store answered with an older one than that.
+  std::optional<AnnouncedConfiguration> told;  ///< Which is wanted, if a watcher told of it.
+  AnnouncedConfiguration reading_told;         ///< Of the read under way.
+  bool told_missed = false;                    ///< The store answered with an older one than that.
   Time watcher_heard_at{};
   Time watcher_current_at{};    ///< The last answer's: at that time the watcher knew all.
   bool changes_unread = false;  ///< The changes since `revision` could not be read.
@@ -140,7 +140,7 @@
   double change_bytes_per_s = 0;  ///< Of changes, as measured or estimated last.
 
   /// @return whether the configuration is known as of a revision no older than the servers'.
-  bool ConfigurationKept() const { return configuration_revision >= revision; }
+  bool ConfigurationIsCurrent() const { return configuration_revision >= revision; }
 };
 
 struct ReadBegun {
@@ -155,7 +155,7 @@
   bool outdated = false;  ///< Not the configuration that was told, but an older one.
 };
 struct ReadFailed {
-  Milliseconds pause{0};  ///< Before the next, see LongestPause.
+  Milliseconds pause{0};  ///< Before the next, see MaxRetryDelay.
   /// No whole answer came in its time: the next read asks for less.
   bool unanswered = false;
   bool history_gone = false;  ///< The changes are no longer to be had.
@@ -173,7 +173,7 @@
   /// The changes go only up to `to_revision`, and the watcher knows of more.
   bool partial = false;
 };
-struct RoleTaken {
+struct RoleChanged {
   bool watches = false;
 };
 /// The first page of a first listing is taken over, and holds all but the servers after it.
@@ -182,7 +182,7 @@
 };
 /// What is known of relays: whether there are some that this daemon is to ask, or none at all, so
 /// that it lists by itself.
-struct RelaysTold {
+struct RelaysChanged {
   bool named = false;
 };
 /// The configuration of which a watcher told was taken from a relay.
@@ -199,12 +199,12 @@
   Time current_at{};       ///< At that time the relay knew no more.
 };
 /// Something other than a read has told of an era of the store.
-struct EraTold {
+struct EraObserved {
   std::int64_t era = 0;
 };
 using Event =
-    std::variant<ReadBegun, ReadEnded, ReadFailed, Relayed, RoleTaken, EraTold, FirstPageEnded,
-                 RelaysTold, ServersPageTaken, ServersTaken, ConfigurationTaken>;
+    std::variant<ReadBegun, ReadEnded, ReadFailed, Relayed, RoleChanged, EraObserved,
+                 FirstPageEnded, RelaysChanged, ServersPageTaken, ServersTaken, ConfigurationTaken>;
 
 struct Decision {
   State state;
@@ -219,7 +219,7 @@
 /// @return the most by which a read may follow one that failed. Where the watcher is heard and
 /// cannot read the store either, the store is out of reach for all: the watcher will tell when it
 /// is back, and its many followers do not all knock meanwhile.
-Milliseconds LongestPause(const Settings& settings, const State& state, Time now);
+Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now);
 /// @return whether all servers are to be taken from a relay now.
 bool WantsServers(const State& state);
 /// @return whether the configuration that was told is to be taken from a relay now.
--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -12,7 +12,7 @@
 namespace moorfold {
 
 /// From a follower to the watcher, beside its demand: what has changed in the store since?
-struct ChangeQuestion {
+struct ChangeRequest {
   /// When it was asked, by the follower's steady clock in microseconds. The answer brings it back,
   /// so that its age can be told without a clock that both share.
   std::int64_t asked_at_us = 0;
@@ -80,8 +80,8 @@
 
 /// From a daemon to a relay: which servers are there? They come page by page, in the order of their
 /// ids.
-struct ServersQuestion {
-  std::int64_t asked_at_us = 0;  ///< As in ChangeQuestion.
+struct ServersRequest {
+  std::int64_t asked_at_us = 0;  ///< As in ChangeRequest.
   std::string after;             ///< The page begins with the first id after this one.
 
   template <typename Archive>
@@ -112,7 +112,7 @@
 };
 
 /// From a daemon to a relay: a part of the text of that version of the configuration.
-struct ConfigurationQuestion {
+struct ConfigurationRequest {
   std::int64_t version = 0;
   std::uint32_t part = 0;  ///< Counted from 0.
 
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -9,7 +9,7 @@
 constexpr std::chrono::milliseconds kAskAgain{300};
 }  // namespace
 
-std::optional<ServersQuestion> SnapshotReader::Due(Time now) {
+std::optional<ServersRequest> SnapshotReader::Due(Time now) {
   if (!running_) return std::nullopt;
   const bool open = asked_at_us_ || (declined_ && after_.empty());
   if (open && now - sent_at_ < kAskAgain) return std::nullopt;
@@ -20,7 +20,7 @@
     asked_at_us_ =
         std::chrono::duration_cast<std::chrono::microseconds>(now.time_since_epoch()).count();
   }
-  return ServersQuestion{*asked_at_us_, after_};
+  return ServersRequest{*asked_at_us_, after_};
 }
 
 bool SnapshotReader::Continues(const ServersPage& page, const std::string& from) const {
--- a/src/relay/snapshot_reader.h
+++ b/src/relay/snapshot_reader.h
@@ -31,7 +31,7 @@
   bool running() const { return running_; }
 
   /// @return the question that is to be sent now, if any.
-  std::optional<ServersQuestion> Due(Time now);
+  std::optional<ServersRequest> Due(Time now);
   /// @param from "IP:PORT" of the sender.
   Taken Take(const ServersPage& page, const std::string& from);
 
--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -26,9 +26,9 @@
                                      [](const CreditQuestion&, const std::string&) {},
                                      [](const CreditAnswer&, const std::string&) {},
                                      [](const RelayPlan&, const std::string&) {},
-                                     [](const ServersQuestion&, const std::string&) {},
+                                     [](const ServersRequest&, const std::string&) {},
                                      [](const ServersPage&, const std::string&) {},
-                                     [](const ConfigurationQuestion&, const std::string&) {},
+                                     [](const ConfigurationRequest&, const std::string&) {},
                                      [](const ConfigurationPart&, const std::string&) {},
                                      [](const PermitQuestion&, const std::string&) {},
                                      [](const PermitAnswer&, const std::string&) {},
@@ -61,9 +61,9 @@
       [](const CreditQuestion&, const std::string&) {},
       [](const CreditAnswer&, const std::string&) {},
       [](const RelayPlan&, const std::string&) {},
-      [](const ServersQuestion&, const std::string&) {},
+      [](const ServersRequest&, const std::string&) {},
       [](const ServersPage&, const std::string&) {},
-      [](const ConfigurationQuestion&, const std::string&) {},
+      [](const ConfigurationRequest&, const std::string&) {},
       [](const ConfigurationPart&, const std::string&) {},
       [](const PermitQuestion&, const std::string&) {},
       [](const PermitAnswer&, const std::string&) {},
@@ -83,9 +83,9 @@
       [](const CreditQuestion&, const std::string&) {},
       [](const CreditAnswer&, const std::string&) {},
       [](const RelayPlan&, const std::string&) {},
-      [](const ServersQuestion&, const std::string&) {},
+      [](const ServersRequest&, const std::string&) {},
       [](const ServersPage&, const std::string&) {},
-      [](const ConfigurationQuestion&, const std::string&) {},
+      [](const ConfigurationRequest&, const std::string&) {},
       [](const ConfigurationPart&, const std::string&) {},
       [](const PermitQuestion&, const std::string&) {},
       [](const PermitAnswer&, const std::string&) {},
@@ -96,7 +96,7 @@
   DemandReport report = MakeReport("one", {}, {"i-9"});
   report.address = ToString(daemon.endpoint());
   report.uptime_ms = 1'234;
-  report.question = ChangeQuestion{77, At(12)};
+  report.question = ChangeRequest{77, At(12)};
   for (int entry = 0; entry < 60; ++entry)
     report.entries.push_back({"s", {"m" + std::to_string(entry), ""}, 1, 2, 3});
   daemon.SendReport(ToString(leader.endpoint()), report);
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -52,7 +52,7 @@
     report.stopping = true;
     report.entries = {{"pool", {"model-1", "a1"}, 2, 3, 4, 1}};
     report.unreachable = {"i-9"};
-    report.question = ChangeQuestion{123'456'789, {3, 272}};
+    report.question = ChangeRequest{123'456'789, {3, 272}};
     report.quarantine_digest = 0x1122'3344'5566'7788ULL;
     notice = {"i-1", {"model-1", ""}, false, 1'500, 77};
     answer.asked_at_us = 123'456'789;
@@ -227,9 +227,9 @@
   DemandReport report;
   ChangeAnswer part;
   RelayPlan plan;
-  ServersQuestion servers_question;
+  ServersRequest servers_question;
   ServersPage page;
-  ConfigurationQuestion configuration_question;
+  ConfigurationRequest configuration_question;
   ConfigurationPart text;
 };
 
@@ -247,13 +247,13 @@
   CHECK(part.leader == "10.0.0.1:7001");
   CHECK(DecodeMessage<RelayPlan>(Load(kRelays, "relay_plan_record")) == golden.plan);
   CHECK(LoadMessage<RelayPlan>(kRelays, "relay_plan") == golden.plan);
-  CHECK(LoadMessage<ServersQuestion>(kRelays, "servers_question").after == "i-65");
+  CHECK(LoadMessage<ServersRequest>(kRelays, "servers_question").after == "i-65");
   const auto page = LoadMessage<ServersPage>(kRelays, "servers_page");
   CHECK(page.revision == StoreRevision{3, 270});
   CHECK(page.more);
   CHECK(page.configuration_version == 61);
   CHECK(page.servers.at(0).record.models == golden.page.servers[0].record.models);
-  CHECK(LoadMessage<ConfigurationQuestion>(kRelays, "configuration_question").part == 2);
+  CHECK(LoadMessage<ConfigurationRequest>(kRelays, "configuration_question").part == 2);
   const auto text = LoadMessage<ConfigurationPart>(kRelays, "configuration_part");
   CHECK(text.revision == StoreRevision{3, 255});
   CHECK(text.bytes == "{}");
--- a/test/gateway/store_view_test.cc
+++ b/test/gateway/store_view_test.cc
@@ -108,7 +108,7 @@
   CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads keep their pace.
   // No request waits for a read that cannot help.
   CHECK_FALSE(fixture.view.AwaitsRead(fixture.view.servers_current_at));
-  const std::optional<ChangeQuestion> question = fixture.store_view.Question();
+  const std::optional<ChangeRequest> question = fixture.store_view.Question();
   REQUIRE(question);
   CHECK(fixture.store_view.Answer(*question, 2, false).age_us > 400'000);
   fixture.PutVersion(3);  // Readable again, and the same.
--- a/test/relay/change_log_test.cc
+++ b/test/relay/change_log_test.cc
@@ -56,12 +56,12 @@
   ChangeLog log;
   log.Restart(At(10));
   log.Advance(At(20));
-  log.NoteListing(At(20), At(40));
+  log.RecordListing(At(20), At(40));
   CHECK(log.newest() == At(40));
   for (const std::int64_t known : {10, 20, 40, 45}) CHECK(log.Reaches(At(known)));
   for (const std::int64_t known : {9, 21, 39}) CHECK_FALSE(log.Reaches(At(known)));
   // It does not grow without end: the oldest such times are forgotten with all before them.
-  for (std::int64_t at = 40; at < 40'000; at += 40) log.NoteListing(At(at), At(at + 40));
+  for (std::int64_t at = 40; at < 40'000; at += 40) log.RecordListing(At(at), At(at + 40));
   CHECK_FALSE(log.Reaches(At(40)));
   CHECK(log.Reaches(At(40'000)));
   CHECK(log.Reaches(At(39'960)));
@@ -75,7 +75,7 @@
   log.Restart(At(10));
   log.Note("a", At(200), false);
   log.Advance(At(272));
-  log.NoteListing(At(272), {2, 244});
+  log.RecordListing(At(272), {2, 244});
   CHECK(log.newest() == StoreRevision{2, 244});
   CHECK_FALSE(log.Reaches(At(272)));
   CHECK_FALSE(log.Reaches(At(244)));
--- a/test/relay/configuration_reader_test.cc
+++ b/test/relay/configuration_reader_test.cc
@@ -20,7 +20,7 @@
   Reading() { reader.Want(kVersion); }
   /// One question and its answer from whoever holds `text`.
   std::optional<ConfigurationReader::Text> Exchange(const std::string& text) {
-    const std::optional<ConfigurationQuestion> question = reader.Due(now);
+    const std::optional<ConfigurationRequest> question = reader.Due(now);
     REQUIRE(question);
     const std::optional<ConfigurationPart> part = PartOf(text, kRevision, *question);
     REQUIRE(part);
@@ -52,7 +52,7 @@
 
 TEST_CASE("A text that is not what its digest says is not taken") {
   Reading reading;
-  const std::optional<ConfigurationQuestion> question = reading.reader.Due(reading.now);
+  const std::optional<ConfigurationRequest> question = reading.reader.Due(reading.now);
   std::optional<ConfigurationPart> part = PartOf("{}", kRevision, *question);
   REQUIRE(part);
   CHECK_FALSE(part->more);
@@ -63,7 +63,7 @@
 
 TEST_CASE("A part that does not come is asked for again; others are left alone") {
   Reading reading;
-  const std::optional<ConfigurationQuestion> first = reading.reader.Due(reading.now);
+  const std::optional<ConfigurationRequest> first = reading.reader.Due(reading.now);
   REQUIRE(first);
   CHECK_FALSE(reading.reader.Due(reading.now + milliseconds(100)));
   CHECK(reading.reader.Due(reading.now + milliseconds(200)));
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -125,7 +125,7 @@
       case ReadKind::kChanges:
         return static_cast<double>(Revision() - daemon.state.revision.number) * kEntryBytes;
       case ReadKind::kConfiguration:
-      case ReadKind::kToldConfiguration:
+      case ReadKind::kAnnouncedConfiguration:
         return kConfigurationBytes;
     }
     return 0;
@@ -190,7 +190,7 @@
   void EndRead(Daemon& daemon, const ReadUnderWay& read) {
     if (read.first_page) {
       Decide(daemon, follow::FirstPageEnded{{0, read.revision}});
-      if (!relays_used) Decide(daemon, follow::RelaysTold{false});
+      if (!relays_used) Decide(daemon, follow::RelaysChanged{false});
       if (plan.number > 0) ApplyPlan(daemon);
     } else {
       const bool changes = read.kind == ReadKind::kChanges;
@@ -226,8 +226,8 @@
     daemon.sources->SetPatient(!daemon.state.listed);
     daemon.sources->NoteOwnReads(daemon.read_failed, now);
     const bool watches = daemon.sources->Watches(now);
-    if (watches != daemon.state.watches) Decide(daemon, follow::RoleTaken{watches});
-    Decide(daemon, follow::RelaysTold{plan.needed() && !watches});
+    if (watches != daemon.state.watches) Decide(daemon, follow::RoleChanged{watches});
+    Decide(daemon, follow::RelaysChanged{plan.needed() && !watches});
     ReadWhenDue(daemon);
   }
   Daemon* Find(const std::string& address) {
@@ -250,7 +250,7 @@
       daemon.snapshot.Begin();
       daemon.page = 0;
     }
-    const std::optional<ServersQuestion> question = daemon.snapshot.Due(now);
+    const std::optional<ServersRequest> question = daemon.snapshot.Due(now);
     Daemon* relay = Find(daemon.sources->Current(now));
     if (!question || relay == nullptr) return;
     daemon.sources->Asked(now);
@@ -258,12 +258,12 @@
          [this, &daemon, relay, asked = *question] { AnswerPage(daemon, *relay, asked); });
     At(now + milliseconds(300), [this, &daemon] { Pull(daemon); });
   }
-  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersQuestion& asked) {
+  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersRequest& asked) {
     ServersPage page;
     page.asked_at_us = asked.asked_at_us;
     page.after = asked.after;
     page.relays =
-        plan.Names(relay.address) && relay.state.listed && relay.state.ConfigurationKept();
+        plan.Names(relay.address) && relay.state.listed && relay.state.ConfigurationIsCurrent();
     page.revision = relay.state.revision;
     page.age_us =
         std::chrono::duration_cast<std::chrono::microseconds>(now - relay.state.current_at).count();
@@ -295,7 +295,7 @@
     if (daemon.alive && !plan.needed() && daemon.state.listed && Registered()) {
       // The leader, which names no relays yet, tells of a configuration, and then of more changes
       // than it can name.
-      if (size_told) Decide(daemon, follow::RelaysTold{true});
+      if (size_told) Decide(daemon, follow::RelaysChanged{true});
       const StoreRevision known = daemon.state.revision;
       const StoreRevision configured{0, known.number + 1};
       Decide(daemon, follow::Relayed{false, false, known, configured, true, now});
@@ -311,7 +311,7 @@
     const Time asked_at = now;
     const StoreRevision known = daemon.state.revision;
     Send(daemon, *relay, 500, [this, &daemon, relay, asked_at, known] {
-      if (!relay->state.listed || !relay->state.ConfigurationKept()) {
+      if (!relay->state.listed || !relay->state.ConfigurationIsCurrent()) {
         daemon.sources->Declined(relay->address, now);
         return;
       }
--- a/test/relay/follow_state_test.cc
+++ b/test/relay/follow_state_test.cc
@@ -34,7 +34,7 @@
   CHECK(NextRead(kSettings, state) == kStart + milliseconds(2'200));
   state = Reduce(kSettings, state, ReadBegun{}, kStart + milliseconds(2'200)).state;
   CHECK(NextRead(kSettings, state) == Time::max());
-  state = Reduce(kSettings, state, RoleTaken{true}, kStart + milliseconds(2'300)).state;
+  state = Reduce(kSettings, state, RoleChanged{true}, kStart + milliseconds(2'300)).state;
   state = Reduce(kSettings, state, ReadEnded{At(9)}, kStart + milliseconds(2'300)).state;
   CHECK(NextRead(kSettings, state) == kStart + milliseconds(2'600));  // A watcher reads more often.
 }
@@ -81,10 +81,10 @@
   answer.newer_configuration = true;
   const Decision decision = Reduce(kSettings, Listed(7), answer, now);
   CHECK(decision.apply);  // What is told of servers does not wait for it.
-  CHECK_FALSE(decision.state.ConfigurationKept());
+  CHECK_FALSE(decision.state.ConfigurationIsCurrent());
   CHECK(decision.state.configuration_at == kStart);
   CHECK(NextRead(kSettings, decision.state) <= now);
-  CHECK(NextReadKind(kSettings, decision.state, now) == ReadKind::kToldConfiguration);
+  CHECK(NextReadKind(kSettings, decision.state, now) == ReadKind::kAnnouncedConfiguration);
   State state = Reduce(kSettings, decision.state, ReadBegun{ReadKind::kConfiguration}, now).state;
   // Servers are relayed on while the configuration is being read.
   const Decision later = Reduce(kSettings, state, Answer(12, 15, now), now + milliseconds(5));
@@ -122,7 +122,7 @@
   CHECK(NextReadKind(kSettings, state, now + milliseconds(50)) == ReadKind::kConfiguration);
   state = Reduce(kSettings, state, ReadBegun{ReadKind::kConfiguration}, now).state;
   state = Reduce(kSettings, state, ReadEnded{At(31)}, now + milliseconds(90)).state;
-  CHECK(state.ConfigurationKept());
+  CHECK(state.ConfigurationIsCurrent());
   const Time next = NextRead(kSettings, state);
   CHECK(next == now + milliseconds(2'200));
   CHECK(NextReadKind(kSettings, state, next) == ReadKind::kChanges);
@@ -202,7 +202,7 @@
   CHECK_FALSE(earlier.apply);
   CHECK(earlier.state.revision == StoreRevision{2, 4});
   CHECK(earlier.state.current_at == now);
-  CHECK(NextReadKind(kSettings, Reduce(kSettings, Listed(7), EraTold{2}, now).state, now) ==
+  CHECK(NextReadKind(kSettings, Reduce(kSettings, Listed(7), EraObserved{2}, now).state, now) ==
         ReadKind::kListing);
 }
 
@@ -232,13 +232,13 @@
 TEST_CASE("Followers of a watcher that cannot read the store either wait longer for the store") {
   const Time now = kStart + milliseconds(3'000);
   State state = Reduce(kSettings, Listed(7), Answer(7, 7, kStart), now).state;
-  CHECK(LongestPause(kSettings, state, now) == kSettings.longest_age);
-  CHECK(LongestPause(kSettings, state, now + milliseconds(1'300)) == kSettings.longest_pause);
-  const State leads = Reduce(kSettings, state, RoleTaken{true}, now).state;
-  CHECK(LongestPause(kSettings, leads, now) == kSettings.longest_pause);
+  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.longest_age);
+  CHECK(MaxRetryDelay(kSettings, state, now + milliseconds(1'300)) == kSettings.longest_pause);
+  const State leads = Reduce(kSettings, state, RoleChanged{true}, now).state;
+  CHECK(MaxRetryDelay(kSettings, leads, now) == kSettings.longest_pause);
   // The watcher reads the store: only this daemon does not reach it.
   state = Reduce(kSettings, state, Answer(7, 7, now - milliseconds(300)), now).state;
-  CHECK(LongestPause(kSettings, state, now) == kSettings.longest_pause);
+  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.longest_pause);
 }
 
 TEST_CASE("A told configuration may be read from an older state, which its version shows") {
@@ -246,8 +246,8 @@
   Relayed answer = Answer(7, 12, now - milliseconds(50));
   answer.newer_configuration = true;
   State told = Reduce(kSettings, Listed(7), answer, now).state;
-  CHECK(NextReadKind(kSettings, told, now) == ReadKind::kToldConfiguration);
-  told = Reduce(kSettings, told, ReadBegun{ReadKind::kToldConfiguration}, now).state;
+  CHECK(NextReadKind(kSettings, told, now) == ReadKind::kAnnouncedConfiguration);
+  told = Reduce(kSettings, told, ReadBegun{ReadKind::kAnnouncedConfiguration}, now).state;
   // The right one: it is known as of what the watcher said, whatever the store's answer says.
   const State read = Reduce(kSettings, told, ReadEnded{At(9)}, now + milliseconds(10)).state;
   CHECK(read.configuration_revision == At(12));
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -81,7 +81,7 @@
   /// One question and its answer.
   /// @param parts whether the follower takes parts of what has changed.
   ChangeAnswer Exchange(bool parts = false) {
-    const std::optional<ChangeQuestion> question = follower.store_view.Question();
+    const std::optional<ChangeRequest> question = follower.store_view.Question();
     REQUIRE(question);
     ChangeAnswer answer = watcher.store_view.Answer(*question, 20, parts);
     follower.store_view.TakeAnswer(answer);
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -199,7 +199,7 @@
         bytes = TakeChanges(daemon, after, at);
       else if (kind == ReadKind::kConfiguration)
         Learn(daemon, kConfiguration, StoreAt(at).at(kConfiguration), false);
-      else if (kind == ReadKind::kToldConfiguration)
+      else if (kind == ReadKind::kAnnouncedConfiguration)
         outdated = !ReadTold(daemon, at);
       else
         TakeListing(daemon, at, kind);
@@ -233,7 +233,7 @@
     if (!daemon.state.listed)
       daemon.log.Restart(Seen(at));
     else if (rules.listings_leave_gaps)
-      daemon.log.NoteListing(daemon.state.revision, Seen(at));
+      daemon.log.RecordListing(daemon.state.revision, Seen(at));
     else
       daemon.log.Advance(Seen(at));
     const Knowledge before = daemon.known;
@@ -253,7 +253,7 @@
   }
   void AnswerQuestion(Time asked, StoreRevision from) {
     if (!watcher.state.listed) return;
-    if (rules.watcher_keeps_both && !watcher.state.ConfigurationKept()) return;
+    if (rules.watcher_keeps_both && !watcher.state.ConfigurationIsCurrent()) return;
     if (watcher.state.in_parts) return;
     follow::Relayed answer;
     const Time current_at = rules.watcher_keeps_both
@@ -370,7 +370,7 @@
       const bool cut_off = watcher.cut_off;
       watcher = follower_leads ? follower : Daemon{};
       watcher.cut_off = cut_off;
-      Reduce(watcher, follow::RoleTaken{true});
+      Reduce(watcher, follow::RoleChanged{true});
       ReadWhenDue(watcher);
     }
     At(now + Between(3'000, 12'000), [this] { Replace(); });
@@ -380,7 +380,7 @@
     Record(kConfiguration, false);
     for (int server = 0; server < kServers; ++server)
       Record("server-" + std::to_string(server), false);
-    Reduce(watcher, follow::RoleTaken{true});
+    Reduce(watcher, follow::RoleChanged{true});
     ReadWhenDue(watcher);
     ReadWhenDue(follower);
     reachable_since = now;
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -67,7 +67,7 @@
 
 TEST_CASE("The first relay of a zone watches the store and answers, until no relay is needed") {
   ServiceFixture fixture;
-  const ServersQuestion question{1, ""};
+  const ServersRequest question{1, ""};
   CHECK_FALSE(fixture.member.store_view.Page(question).relays);
   fixture.service.TakePlan(ServiceFixture::Plan(1, {kSelf, kOther}));
   CHECK(fixture.service.Watches());
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -78,9 +78,9 @@
   RelayFixture fixture;
   fixture.watcher.store.EndWatch();
   fixture.watcher.store.unreachable = true;
-  const std::optional<ChangeQuestion> early = fixture.follower.store_view.Question();
+  const std::optional<ChangeRequest> early = fixture.follower.store_view.Question();
   REQUIRE(early);
-  ChangeQuestion before_all = *early;
+  ChangeRequest before_all = *early;
   before_all.revision = {fixture.table.era(), 0};
   const ChangeAnswer answer = fixture.watcher.store_view.Answer(before_all, 20, false);
   CHECK(answer.gap);
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -43,7 +43,7 @@
   /// Pages go back and forth until the daemon has all. @return how many.
   int TakeAllPages() {
     int pages = 0;
-    while (const std::optional<ServersQuestion> question =
+    while (const std::optional<ServersRequest> question =
                starting->store_view.ServersQuestionDue()) {
       const ServersPage page = relay.store_view.Page(*question);
       CHECK(EncodeMessage(FleetMessage(page)).size() < 8'000);
@@ -53,7 +53,7 @@
     return pages;
   }
   ChangeAnswer Exchange() {
-    const std::optional<ChangeQuestion> question = starting->store_view.Question();
+    const std::optional<ChangeRequest> question = starting->store_view.Question();
     REQUIRE(question);
     ChangeAnswer answer = relay.store_view.Answer(*question, 1'000, true);
     starting->store_view.TakeAnswer(answer);
@@ -105,7 +105,7 @@
 TEST_CASE("All servers come from a relay, and what changed meanwhile after them") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> first = fleet.starting->store_view.ServersQuestionDue();
+  const std::optional<ServersRequest> first = fleet.starting->store_view.ServersQuestionDue();
   REQUIRE(first);
   const ServersPage page = fleet.relay.store_view.Page(*first);
   REQUIRE(page.more);
@@ -128,7 +128,7 @@
 TEST_CASE("A relay that has not read the store itself gives nothing") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> question = fleet.starting->store_view.ServersQuestionDue();
+  const std::optional<ServersRequest> question = fleet.starting->store_view.ServersQuestionDue();
   REQUIRE(question);
   Member another(fleet.context, fleet.table, std::chrono::hours(1), kPageEntries);
   const ServersPage page = another.store_view.Page(*question);
--- a/test/relay/snapshot_reader_test.cc
+++ b/test/relay/snapshot_reader_test.cc
@@ -11,7 +11,7 @@
 
 constexpr Time kStart{std::chrono::seconds(1'000)};
 
-ServersPage PageFor(const ServersQuestion& question, const std::string& last, bool more,
+ServersPage PageFor(const ServersRequest& question, const std::string& last, bool more,
                     std::int64_t revision) {
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
@@ -26,8 +26,8 @@
 
 struct Reading {
   Reading() { reader.Begin(); }
-  ServersQuestion Ask() {
-    const std::optional<ServersQuestion> question = reader.Due(now);
+  ServersRequest Ask() {
+    const std::optional<ServersRequest> question = reader.Due(now);
     REQUIRE(question);
     return *question;
   }
@@ -37,12 +37,12 @@
 
 TEST_CASE("Pages are asked for one after the other, and are as old as the first") {
   Reading reading;
-  const ServersQuestion first = reading.Ask();
+  const ServersRequest first = reading.Ask();
   CHECK(first.after.empty());
   CHECK_FALSE(reading.reader.Due(reading.now));  // It is open.
   CHECK(reading.reader.Take(PageFor(first, "i-3", true, 50), "relay") == Taken::kPage);
   reading.now += milliseconds(5);
-  const ServersQuestion second = reading.Ask();
+  const ServersRequest second = reading.Ask();
   CHECK(second.after == "i-3");
   CHECK(reading.reader.Take(PageFor(second, "i-6", false, 57), "relay") == Taken::kWhole);
   CHECK(reading.reader.revision() == StoreRevision{0, 50});
@@ -52,9 +52,9 @@
 
 TEST_CASE("A late page is asked for again; its first answer is taken, its second left alone") {
   Reading reading;
-  const ServersQuestion late = reading.Ask();
+  const ServersRequest late = reading.Ask();
   reading.now += milliseconds(400);
-  const ServersQuestion again = reading.Ask();
+  const ServersRequest again = reading.Ask();
   CHECK(again.after == late.after);
   CHECK(reading.reader.Take(PageFor(late, "i-3", true, 50), "relay") == Taken::kPage);
   CHECK(reading.reader.Take(PageFor(again, "i-3", true, 50), "relay") == Taken::kIgnored);
@@ -64,9 +64,9 @@
 
 TEST_CASE("Pages of another relay, another era or an older state begin anew") {
   Reading reading;
-  const ServersQuestion first = reading.Ask();
+  const ServersRequest first = reading.Ask();
   reading.reader.Take(PageFor(first, "i-3", true, 50), "relay");
-  const ServersQuestion second = reading.Ask();
+  const ServersRequest second = reading.Ask();
   ServersPage page = PageFor(second, "i-6", true, 57);
   std::string from = "relay";
   SECTION("relay") { from = "another"; }
@@ -79,9 +79,9 @@
 
 TEST_CASE("Who does not watch the store declines, and the next is asked from the beginning") {
   Reading reading;
-  const ServersQuestion first = reading.Ask();
+  const ServersRequest first = reading.Ask();
   reading.reader.Take(PageFor(first, "i-3", true, 50), "relay");
-  const ServersQuestion second = reading.Ask();
+  const ServersRequest second = reading.Ask();
   ServersPage declined = PageFor(second, "", false, 0);
   declined.relays = false;
   CHECK(reading.reader.Take(declined, "relay") == Taken::kDeclined);
