--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -32,7 +32,7 @@
 }
 
 /// Takes off the end until no revision is there in part: one transaction may change several.
-void EndAtWholeRevision(std::vector<ServerChange>& servers, StoreRevision next) {
+void DropPartialRevision(std::vector<ServerChange>& servers, StoreRevision next) {
   while (!servers.empty() && servers.back().revision == next) servers.pop_back();
 }
 
@@ -55,7 +55,7 @@
     ServerChange told = Describe(change, find_record);
     bytes += EncodedBytes(told);
     if (bytes > kMaxServersBytes) {
-      EndAtWholeRevision(answer.servers, change.revision);
+      DropPartialRevision(answer.servers, change.revision);
       answer.partial = parts && !answer.servers.empty();
       answer.gap = !answer.partial;
       break;
--- a/src/relay/change_log.cc
+++ b/src/relay/change_log.cc
@@ -9,17 +9,17 @@
 /// A follower that lacks more reads the store. Four changes of each of the 2,400 servers that this
 /// is designed for (CONTRIBUTING.md) would be more than a follower asks for at once; a change takes
 /// some 100 bytes here.
-constexpr std::size_t kMostChanges = 1'024;
+constexpr std::size_t kMaxChanges = 1'024;
 /// Followers ask twice a second, and a watcher lists a few times a second at most: whoever has not
 /// asked for so many listings reads the store.
-constexpr std::size_t kMostBlindSpans = 64;
+constexpr std::size_t kMaxUnknownIntervals = 64;
 
 }  // namespace
 
 void ChangeLog::Restart(StoreRevision revision) {
   changes_.clear();
   revisions_.clear();
-  blind_.clear();
+  unknown_intervals_.clear();
   started_ = true;
   oldest_ = revision;
   newest_ = revision;
@@ -36,7 +36,7 @@
   }
   revisions_[server_id] = revision;
   changes_.emplace(revision, Change{revision, server_id, gone});
-  ForgetOldest();
+  EvictOldest();
 }
 
 void ChangeLog::Advance(StoreRevision revision) {
@@ -48,21 +48,21 @@
   if (started_ && to.era > newest_.era) Restart(to);
   Advance(to);
   if (!started_ || from.era != to.era || to.number - from.number < 2) return;
-  blind_.push_back({from, to});
-  if (blind_.size() <= kMostBlindSpans) return;
-  oldest_ = std::max(oldest_, blind_.front().to);
-  blind_.pop_front();
+  unknown_intervals_.push_back({from, to});
+  if (unknown_intervals_.size() <= kMaxUnknownIntervals) return;
+  oldest_ = std::max(oldest_, unknown_intervals_.front().to);
+  unknown_intervals_.pop_front();
 }
 
 bool ChangeLog::Reaches(StoreRevision revision) const {
   if (!started_ || revision < oldest_) return false;
-  return std::none_of(blind_.begin(), blind_.end(), [&](const BlindSpan& span) {
-    return revision > span.from && revision < span.to;
-  });
+  return std::none_of(
+      unknown_intervals_.begin(), unknown_intervals_.end(),
+      [&](const UnknownInterval& span) { return revision > span.from && revision < span.to; });
 }
 
-void ChangeLog::ForgetOldest() {
-  while (changes_.size() > kMostChanges) {
+void ChangeLog::EvictOldest() {
+  while (changes_.size() > kMaxChanges) {
     const auto oldest = changes_.begin();
     oldest_ = oldest->first;
     revisions_.erase(oldest->second.server_id);
--- a/src/relay/change_log.h
+++ b/src/relay/change_log.h
@@ -43,11 +43,11 @@
 
  private:
   /// Between two revisions, without them, nothing is known to be complete.
-  struct BlindSpan {
+  struct UnknownInterval {
     StoreRevision from;
     StoreRevision to;
   };
-  void ForgetOldest();
+  void EvictOldest();
 
   bool started_ = false;
   StoreRevision oldest_;  ///< Changes after this one are in the log.
@@ -55,7 +55,7 @@
   std::multimap<StoreRevision, Change>
       changes_;  ///< By revision; one transaction may change several.
   std::unordered_map<std::string, StoreRevision> revisions_;  ///< Of each server's change.
-  std::deque<BlindSpan> blind_;                               ///< In the order of revisions.
+  std::deque<UnknownInterval> unknown_intervals_;             ///< In the order of revisions.
 };
 
 }  // namespace moorfold
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -9,9 +9,9 @@
 namespace {
 
 /// Of one part: with it a message is no longer than a datagram of the channel.
-constexpr std::size_t kPartBytes = 7'000;
+constexpr std::size_t kMaxPartBytes = 7'000;
 /// A part takes some milliseconds on its way.
-constexpr std::chrono::milliseconds kAskAgain{150};
+constexpr std::chrono::milliseconds kRetryInterval{150};
 
 std::uint64_t DigestOf(const std::string& text, std::int64_t version) {
   return XXH64(text.data(), text.size(), static_cast<XXH64_hash_t>(version));
@@ -21,14 +21,14 @@
 
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
                                         const ConfigurationRequest& question) {
-  const std::size_t begin = question.part * kPartBytes;
+  const std::size_t begin = question.part * kMaxPartBytes;
   if (begin >= text.size()) return std::nullopt;
   ConfigurationPart part;
   part.version = question.version;
   part.part = question.part;
   part.digest = DigestOf(text, question.version);
   part.revision = revision;
-  part.bytes = text.substr(begin, kPartBytes);
+  part.bytes = text.substr(begin, kMaxPartBytes);
   part.more = begin + part.bytes.size() < text.size();
   return part;
 }
@@ -41,7 +41,7 @@
 
 std::optional<ConfigurationRequest> ConfigurationReader::Due(Time now) {
   if (!running()) return std::nullopt;
-  if (asked_at_ != Time{} && now - asked_at_ < kAskAgain) return std::nullopt;
+  if (asked_at_ != Time{} && now - asked_at_ < kRetryInterval) return std::nullopt;
   asked_at_ = now;
   return ConfigurationRequest{version_, next_part_};
 }
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -7,10 +7,10 @@
 namespace {
 
 /// A rate of changes over less time says little: some few of them come together.
-constexpr std::chrono::duration<double> kShortestSpan{0.1};
+constexpr std::chrono::duration<double> kMinRateInterval{0.1};
 
 double SecondsBetween(Time from, Time to) {
-  return std::max(kShortestSpan, std::chrono::duration<double>(to - from)).count();
+  return std::max(kMinRateInterval, std::chrono::duration<double>(to - from)).count();
 }
 
 bool ShowsServers(ReadKind kind) {
@@ -32,7 +32,7 @@
   if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_told = *state.told;
 }
 
-void TakeServers(State& state, const ReadEnded& read, Time since) {
+void ApplyServers(State& state, const ReadEnded& read, Time since) {
   const bool lists = ListsServers(state.reading);
   if (read.change_bytes && state.listed)
     state.change_bytes_per_s = *read.change_bytes / SecondsBetween(state.current_at, since);
@@ -44,22 +44,22 @@
   state.changes_unread = false;
 }
 
-void TakeTold(State& state, const AnnouncedConfiguration& told) {
+void ApplyAnnounced(State& state, const AnnouncedConfiguration& told) {
   state.configuration_revision = std::max(state.configuration_revision, told.revision);
   state.configuration_at = std::max(state.configuration_at, told.current_at);
 }
 
-void TakeTold(State& state, const ReadEnded& read) {
+void ApplyAnnounced(State& state, const ReadEnded& read) {
   state.told_missed = read.outdated;
   if (read.outdated)
     state.configuration_wanted = true;
   else
-    TakeTold(state, state.reading_told);
+    ApplyAnnounced(state, state.reading_told);
 }
 
-void TakeConfiguration(State& state, const ReadEnded& read, Time since) {
+void ApplyConfiguration(State& state, const ReadEnded& read, Time since) {
   if (state.reading == ReadKind::kAnnouncedConfiguration) {
-    TakeTold(state, read);
+    ApplyAnnounced(state, read);
     return;
   }
   state.told_missed = false;
@@ -70,8 +70,8 @@
 
 void Take(const Settings& settings, State& state, const ReadEnded& read, Time now) {
   const Time since = state.reading_since.value_or(now);
-  if (ShowsServers(state.reading)) TakeServers(state, read, since);
-  if (ShowsConfiguration(state.reading)) TakeConfiguration(state, read, since);
+  if (ShowsServers(state.reading)) ApplyServers(state, read, since);
+  if (ShowsConfiguration(state.reading)) ApplyConfiguration(state, read, since);
   if (state.reading == ReadKind::kListing) state.listing_bytes = read.bytes;
   state.reading_since.reset();
   // The read that follows an outdated answer belongs to it.
@@ -97,7 +97,7 @@
 }
 
 /// Another daemon has told whether there is a newer configuration, up to `revision` and at `at`.
-void TakeConfigurationNews(State& state, bool newer, StoreRevision revision, Time at, Time now) {
+void ApplyConfigurationStatus(State& state, bool newer, StoreRevision revision, Time at, Time now) {
   if (newer) {
     if (!state.configuration_wanted) state.wanted_since = now;
     state.configuration_wanted = true;
@@ -133,8 +133,8 @@
   const bool read_meanwhile =
       answer.from_revision < state.revision && answer.to_revision > state.revision;
   if (read_meanwhile || (state.in_parts && answer.from_revision < state.revision)) return false;
-  TakeConfigurationNews(state, answer.newer_configuration, answer.to_revision, answer.current_at,
-                        now);
+  ApplyConfigurationStatus(state, answer.newer_configuration, answer.to_revision, answer.current_at,
+                           now);
   const bool apply = answer.to_revision > state.revision;
   state.revision = std::max(state.revision, answer.to_revision);
   // What is still to come may be as old as what this part holds.
@@ -146,7 +146,7 @@
   return apply;
 }
 
-void TakeFirstPage(const Settings& settings, State& state, const FirstPageEnded& page, Time now) {
+void ApplyFirstPage(const Settings& settings, State& state, const FirstPageEnded& page, Time now) {
   const Time since = state.reading_since.value_or(now);
   state.reading_since.reset();
   state.begun = true;
@@ -158,7 +158,7 @@
 /// Relays are named while all servers are being listed: these come from a relay instead. Were each
 /// daemon of a large fleet to read its listing to the end, they would take up the store for longer
 /// than a leader's lease, and the relays' own listings would wait behind them.
-void LeaveListing(const Settings& settings, State& state, Time now) {
+void AbandonListing(const Settings& settings, State& state, Time now) {
   if (!state.reading_since || !state.reading_all || state.watches) return;
   state.reading_since.reset();
   state.listed = false;
@@ -169,7 +169,7 @@
 void Take(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
   if (relays.named && !state.relayed) {
     state.relayed_since = now;
-    LeaveListing(settings, state, now);
+    AbandonListing(settings, state, now);
   }
   state.relayed = relays.named;
   if (!relays.named) state.servers_not_before = Time{};
@@ -178,13 +178,13 @@
 void Take(State& state, const ServersPageTaken& page, Time now) {
   state.watcher_heard_at = now;
   if (page.revision.era != state.configuration_revision.era) return;
-  TakeConfigurationNews(state, page.newer_configuration, page.revision, page.current_at, now);
+  ApplyConfigurationStatus(state, page.newer_configuration, page.revision, page.current_at, now);
 }
 
 void Take(State& state, const ConfigurationTaken&) {
   if (!state.told) return;
   state.configuration_wanted = false;
-  TakeTold(state, *state.told);
+  ApplyAnnounced(state, *state.told);
 }
 
 void Take(State& state, const ServersTaken& taken) {
@@ -204,7 +204,7 @@
 }
 
 /// @return whether servers come from relays, or may.
-bool LeavesServers(const State& state) {
+bool MayUseRelays(const State& state) {
   if (state.watches) return false;
   return state.relayed || (state.begun && !state.listed);
 }
@@ -212,13 +212,13 @@
 /// @return when the store is to be read for servers.
 Time ServersDue(const Settings& settings, const State& state) {
   const Time heard = std::max(state.watcher_heard_at, state.relayed_since);
-  if (!state.listed && LeavesServers(state)) {
+  if (!state.listed && MayUseRelays(state)) {
     const Time patience = state.relayed ? heard + settings.listing_patience : Time{};
     return std::max(state.servers_not_before, patience);
   }
   if (!state.listed) return Time{};
   Time due = state.current_at + LongestAge(settings, state);
-  if (LeavesServers(state)) return std::max(due, heard + settings.relay_patience);
+  if (MayUseRelays(state)) return std::max(due, heard + settings.relay_patience);
   if (state.urgent) due = std::min(due, state.urgent_not_before);
   return due;
 }
@@ -256,7 +256,7 @@
   else if (const auto* told = std::get_if<EraObserved>(&event))
     Take(decision.state, *told);
   else if (const auto* page = std::get_if<FirstPageEnded>(&event))
-    TakeFirstPage(settings, decision.state, *page, now);
+    ApplyFirstPage(settings, decision.state, *page, now);
   else if (const auto* relays = std::get_if<RelaysChanged>(&event))
     Take(settings, decision.state, *relays, now);
   else if (const auto* servers = std::get_if<ServersPageTaken>(&event))
@@ -298,8 +298,8 @@
   const bool other_half = state.narrow && state.configuration_wanted;
   if (other_half && state.configuration_at < state.current_at) return ReadKind::kConfiguration;
   const bool old = now >= state.current_at + LongestAge(settings, state);
-  const bool servers = LeavesServers(state) ? now >= ServersDue(settings, state)
-                                            : !state.listed || state.urgent || old;
+  const bool servers = MayUseRelays(state) ? now >= ServersDue(settings, state)
+                                           : !state.listed || state.urgent || old;
   const bool told = state.told && state.told->revision > state.configuration_revision;
   if (!servers && told && !state.told_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
--- a/src/relay/relay_plan.cc
+++ b/src/relay/relay_plan.cc
@@ -11,17 +11,17 @@
 using std::chrono::milliseconds;
 
 /// One takes over from the other without waiting for a new plan.
-constexpr std::size_t kLeastRelays = 2;
+constexpr std::size_t kMinRelaysPerZone = 2;
 /// Daemons that one relay answers. All start at once: each takes some hundreds of pages then.
-constexpr std::size_t kDaemonsOfRelay = 60;
+constexpr std::size_t kDaemonsPerRelay = 60;
 /// Daemons report every three seconds at the least; one report may be lost.
-constexpr milliseconds kMemberLife{8'000};
+constexpr milliseconds kMemberTimeout{8'000};
 /// A fleet that starts at once has reported by then, twice.
-constexpr milliseconds kFirstCount{1'500};
+constexpr milliseconds kFirstPlanDelay{1'500};
 /// A new leader knows of all that live by then.
-constexpr milliseconds kRecount{9'000};
+constexpr milliseconds kReplanDelay{9'000};
 /// A fleet is small again only well below the size at which it became large.
-constexpr double kSmallAgain = 0.75;
+constexpr double kRelayRemovalFraction = 0.75;
 
 }  // namespace
 
@@ -52,12 +52,12 @@
 }
 
 RelayPlan RelayPlanner::Plan(const RelayPlan& known, Time leading_since, Time now) {
-  std::erase_if(members_, [&](const auto& seen) { return now - seen.second.at > kMemberLife; });
+  std::erase_if(members_, [&](const auto& seen) { return now - seen.second.at > kMemberTimeout; });
   // Who has not been heard of yet is not gone.
-  const milliseconds count_after = known.needed() ? kRecount : kFirstCount;
+  const milliseconds count_after = known.needed() ? kReplanDelay : kFirstPlanDelay;
   if (now - leading_since < count_after) return known;
   const auto daemons = static_cast<std::uint32_t>(members_.size()) + 1;
-  const double least = from_daemons_ * (known.needed() ? kSmallAgain : 1);
+  const double least = from_daemons_ * (known.needed() ? kRelayRemovalFraction : 1);
   const bool understood = std::all_of(members_.begin(), members_.end(), [](const auto& seen) {
     return seen.second.member.understands;
   });
@@ -74,7 +74,7 @@
   std::vector<ZoneRelays> chosen;
   for (auto& [zone, members] : zones) {
     ZoneRelays relays{zone, {}};
-    const std::size_t wanted = std::max(kLeastRelays, members.size() / kDaemonsOfRelay + 1);
+    const std::size_t wanted = std::max(kMinRelaysPerZone, members.size() / kDaemonsPerRelay + 1);
     for (const ZoneRelays& before : known.zones)
       if (before.zone == zone)
         std::copy_if(before.relays.begin(), before.relays.end(), std::back_inserter(relays.relays),
--- a/src/relay/relay_sources.cc
+++ b/src/relay/relay_sources.cc
@@ -11,21 +11,21 @@
 using std::chrono::milliseconds;
 
 /// Relays are asked twice a second: without two answers another is asked.
-constexpr milliseconds kSilence{900};
+constexpr milliseconds kSilenceTimeout{900};
 /// The same after another was silent: what is known ages meanwhile.
-constexpr milliseconds kHurriedSilence{400};
+constexpr milliseconds kShortSilenceTimeout{400};
 /// The same for a daemon that knows nothing yet: in a fleet that starts at once its relays read the
 /// whole store first.
-constexpr milliseconds kPatientSilence{3'000};
+constexpr milliseconds kInitialSilenceTimeout{3'000};
 /// So long a relay may say that it does not know enough: a whole read of the store takes less.
-constexpr milliseconds kLongestDecline{6'000};
+constexpr milliseconds kMaxDeclineTime{6'000};
 /// Of its own zone: where so many are silent, the others are hardly asked in time.
-constexpr std::size_t kAskedOfZone = 2;
+constexpr std::size_t kSourcesPerZone = 2;
 /// What a relay knows may have come over another, and is up to two questions and a read old. One
 /// that is further behind is cut off from its source, or too slow.
-constexpr milliseconds kBehind{2'000};
+constexpr milliseconds kMaxRelayAge{2'000};
 /// Whoever asks a relay of another zone looks for its own again so often: what crosses zones costs.
-constexpr milliseconds kHomeAgain{5'000};
+constexpr milliseconds kOwnZoneRetryInterval{5'000};
 
 }  // namespace
 
@@ -41,11 +41,11 @@
     return rank(left) < rank(right);
   });
   sources.push_back(zone.relays.front());
-  if (sources.size() > kAskedOfZone) sources.resize(kAskedOfZone);
+  if (sources.size() > kSourcesPerZone) sources.resize(kSourcesPerZone);
   return sources;
 }
 
-std::vector<std::string> RelaySources::SourcesBeyond(const RelayPlan& plan) const {
+std::vector<std::string> RelaySources::OtherZoneSources(const RelayPlan& plan) const {
   std::vector<std::vector<std::string>> zones;
   for (const ZoneRelays& zone : plan.zones)
     if (zone.zone != zone_) zones.push_back(SourcesOf(zone));
@@ -54,7 +54,7 @@
   const auto start = std::hash<std::string>{}(address_) % zones.size();
   std::rotate(zones.begin(), zones.begin() + static_cast<std::ptrdiff_t>(start), zones.end());
   std::vector<std::string> sources;
-  for (std::size_t turn = 0; turn < kAskedOfZone; ++turn)
+  for (std::size_t turn = 0; turn < kSourcesPerZone; ++turn)
     for (const std::vector<std::string>& zone : zones)
       if (turn < zone.size()) sources.push_back(zone[turn]);
   return sources;
@@ -72,7 +72,7 @@
       order_ = SourcesOf(zone);
   }
   own_zone_ = order_.size();
-  const std::vector<std::string> beyond = SourcesBeyond(plan);
+  const std::vector<std::string> beyond = OtherZoneSources(plan);
   order_.insert(order_.end(), beyond.begin(), beyond.end());
   const auto same = std::find(order_.begin(), order_.end(), before);
   const bool stays = !relay_ && same != order_.end();
@@ -87,31 +87,31 @@
 void RelaySources::Next(Time now) {
   silent_since_ = {};
   declined_since_ = {};
-  home_again_ = now + kHomeAgain;
+  retry_own_zone_at_ = now + kOwnZoneRetryInterval;
   current_ = (current_ + 1) % order_.size();
 }
 
-void RelaySources::MoveOn(Time now) {
+void RelaySources::UpdateCurrent(Time now) {
   if (order_.empty()) return;
-  const milliseconds usual = hurried_ ? kHurriedSilence : kSilence;
-  const milliseconds patience = patient_ ? kPatientSilence : usual;
+  const milliseconds usual = previous_relay_silent_ ? kShortSilenceTimeout : kSilenceTimeout;
+  const milliseconds patience = patient_ ? kInitialSilenceTimeout : usual;
   const bool silent = silent_since_ != Time{} && now - silent_since_ >= patience;
   if (silent) {
     Next(now);
-    hurried_ = true;
+    previous_relay_silent_ = true;
   }
-  if (current_ < own_zone_ || own_zone_ == 0 || now < home_again_) return;
+  if (current_ < own_zone_ || own_zone_ == 0 || now < retry_own_zone_at_) return;
   current_ = 0;
   silent_since_ = {};
 }
 
 std::string RelaySources::Current(Time now) {
-  MoveOn(now);
+  UpdateCurrent(now);
   return order_.empty() || AtSelf() ? std::string() : order_[current_];
 }
 
 bool RelaySources::Watches(Time now) {
-  MoveOn(now);
+  UpdateCurrent(now);
   return AtSelf();
 }
 
@@ -123,25 +123,25 @@
   if (order_.empty() || order_[current_] != from) return;
   silent_since_ = {};
   declined_since_ = {};
-  hurried_ = false;
-  if (age > kBehind) Next(now);
+  previous_relay_silent_ = false;
+  if (age > kMaxRelayAge) Next(now);
 }
 
 void RelaySources::NoteOwnReads(bool fail, Time now) {
-  const bool read_in_vain = AtSelf() && fail;
-  if (!read_in_vain) {
+  const bool read_fails = AtSelf() && fail;
+  if (!read_fails) {
     failing_since_ = {};
     return;
   }
   if (failing_since_ == Time{}) failing_since_ = now;
-  if (now - failing_since_ >= kSilence) Next(now);
+  if (now - failing_since_ >= kSilenceTimeout) Next(now);
 }
 
 void RelaySources::Declined(const std::string& from, Time now) {
   if (order_.empty() || order_[current_] != from) return;
   if (declined_since_ == Time{}) declined_since_ = now;
   // It is there; what is known here ages all the same.
-  if (patient_ && now - declined_since_ < kLongestDecline) silent_since_ = {};
+  if (patient_ && now - declined_since_ < kMaxDeclineTime) silent_since_ = {};
 }
 
 }  // namespace moorfold
--- a/src/relay/relay_sources.h
+++ b/src/relay/relay_sources.h
@@ -43,11 +43,11 @@
 
  private:
   void Next(Time now);
-  void MoveOn(Time now);
+  void UpdateCurrent(Time now);
   /// @return whom to ask of a zone's relays, the ones to ask last at the end.
   std::vector<std::string> SourcesOf(const ZoneRelays& zone) const;
   /// @return relays of the other zones, one of each in turn.
-  std::vector<std::string> SourcesBeyond(const RelayPlan& plan) const;
+  std::vector<std::string> OtherZoneSources(const RelayPlan& plan) const;
   bool AtSelf() const { return !order_.empty() && order_[current_] == address_; }
 
   std::string address_;
@@ -57,11 +57,11 @@
   std::size_t own_zone_ = 0;  ///< So many of `order_`, the first ones.
   std::size_t current_ = 0;
   bool patient_ = false;
-  Time failing_since_{};   ///< Of own reads; zero: they do not fail.
-  bool hurried_ = false;   ///< The relay before was silent.
+  Time failing_since_{};                ///< Of own reads; zero: they do not fail.
+  bool previous_relay_silent_ = false;  ///< The relay before was silent.
   Time declined_since_{};  ///< Zero: the relay has not declined since it was chosen, or answered.
   Time silent_since_{};    ///< Of the first question without an answer; zero: there is none.
-  Time home_again_{};      ///< When a relay of the own zone is tried again.
+  Time retry_own_zone_at_{};  ///< When a relay of the own zone is tried again.
 };
 
 }  // namespace moorfold
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -6,13 +6,13 @@
 
 namespace {
 /// A page takes some milliseconds on its way: one that takes longer is lost, or its relay is slow.
-constexpr std::chrono::milliseconds kAskAgain{300};
+constexpr std::chrono::milliseconds kRetryInterval{300};
 }  // namespace
 
 std::optional<ServersRequest> SnapshotReader::Due(Time now) {
   if (!running_) return std::nullopt;
   const bool open = asked_at_us_ || (declined_ && after_.empty());
-  if (open && now - sent_at_ < kAskAgain) return std::nullopt;
+  if (open && now - sent_at_ < kRetryInterval) return std::nullopt;
   sent_at_ = now;
   // Asked again, it is the same question: a relay that is slow is answered by its first answer.
   if (!asked_at_us_) {
