--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -67,8 +67,8 @@
   const double spread =
       static_cast<double>(std::hash<std::string>{}(settings.name) % kSpreadSteps) /
       static_cast<double>(kSpreadSteps);
-  wanted.configuration_patience = share(kConfigurationPatienceShare);
-  wanted.relay_patience = share(kRelayPatienceShare + kRelayPatienceSpread * spread);
+  wanted.configuration_relay_timeout = share(kConfigurationPatienceShare);
+  wanted.relay_timeout = share(kRelayPatienceShare + kRelayPatienceSpread * spread);
   return wanted;
 }
 
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -55,9 +55,9 @@
     if (plan_.number > 0) view_.SetRelays(false);
     return;
   }
-  sources_.SetPatient(view_.WaitsForServers());
+  sources_.SetLearning(view_.WaitsForServers());
   const Time now = BootClock::now();
-  sources_.NoteOwnReads(!view_.StoreInTouch(), now);
+  sources_.RecordOwnReads(!view_.StoreInTouch(), now);
   watches_ = sources_.Watches(now);
   view_.SetServing(IsRelay());
   view_.SetWatching(watches_ || ports_.leads());
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -434,7 +434,7 @@
 void StoreView::NoteContact(SteadyTime current_at) {
   const auto silence = current_at - last_contact_;
   // Without a failed read, the ordinary time between two reads is no sign of an outage.
-  const auto outage = failed_reads_ > 0 ? kOutage : kOutage + settings_.longest_age;
+  const auto outage = failed_reads_ > 0 ? kOutage : kOutage + settings_.max_age;
   if (contacted_ && silence > outage) servers_.BeginGrace();
   if (!in_touch_)
     log_.Write(
@@ -456,7 +456,7 @@
   const SteadyTime now = BootClock::now();
   const auto taken = now - state_.reading_since.value_or(now);
   metrics_.store_read.Observe(std::chrono::duration<double, std::milli>(taken).count());
-  if (taken < settings_.longest_age * kLateReadShare) return;
+  if (taken < settings_.max_age * kLateReadShare) return;
   log_.Write(LogRank::kDecision,
              EventLine(LogEvent::kStoreReadLate)
                  .Field(LogField::kRead, ToString(state_.reading))
@@ -478,7 +478,7 @@
   Decide(follow::ReadFailed{retry_pause_, unanswered, history_gone});
   const Milliseconds longest = follow::MaxRetryDelay(settings_, state_, BootClock::now());
   retry_pause_ =
-      retry_pause_ >= settings_.longest_pause ? longest : std::min(longest, retry_pause_ * 2);
+      retry_pause_ >= settings_.max_retry_delay ? longest : std::min(longest, retry_pause_ * 2);
   ReadWhenDue();
   if (!in_touch_) return;
   in_touch_ = false;
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -48,7 +48,7 @@
 void FillChanges(ChangeAnswer& answer, const ChangeLog& changes, const RecordFinder& find_record,
                  bool parts) {
   answer.to_revision = changes.newest();
-  answer.gap = !changes.Reaches(answer.from_revision);
+  answer.gap = !changes.CoversSince(answer.from_revision);
   if (answer.gap) return;
   std::size_t bytes = 0;
   for (const ChangeLog::Change& change : changes.Since(answer.from_revision)) {
@@ -65,7 +65,7 @@
   if (answer.partial) {
     answer.to_revision = std::min(answer.to_revision, answer.servers.back().revision);
     // From there the next part could not be told.
-    if (!changes.Reaches(answer.to_revision)) answer.gap = true;
+    if (!changes.CoversSince(answer.to_revision)) answer.gap = true;
   }
   answer.partial = answer.partial && !answer.gap;
   if (answer.gap) answer.servers.clear();
--- a/src/relay/change_log.cc
+++ b/src/relay/change_log.cc
@@ -54,7 +54,7 @@
   unknown_intervals_.pop_front();
 }
 
-bool ChangeLog::Reaches(StoreRevision revision) const {
+bool ChangeLog::CoversSince(StoreRevision revision) const {
   if (!started_ || revision < oldest_) return false;
   return std::none_of(
       unknown_intervals_.begin(), unknown_intervals_.end(),
--- a/src/relay/change_log.h
+++ b/src/relay/change_log.h
@@ -37,8 +37,8 @@
 
   StoreRevision newest() const { return newest_; }
   /// @return whether the log holds every change after `revision`.
-  bool Reaches(StoreRevision revision) const;
-  /// @return the changes after `revision`, oldest first. @pre Reaches(revision).
+  bool CoversSince(StoreRevision revision) const;
+  /// @return the changes after `revision`, oldest first. @pre CoversSince(revision).
   std::vector<Change> Since(StoreRevision revision) const;
 
  private:
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -29,7 +29,7 @@
   // Whatever was heard before, this read will show.
   if (ShowsServers(read.kind)) state.urgent = false;
   if (ShowsConfiguration(read.kind)) state.configuration_wanted = false;
-  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_told = *state.told;
+  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.told;
 }
 
 void ApplyServers(State& state, const ReadEnded& read, Time since) {
@@ -41,7 +41,7 @@
   state.listed = state.listed || lists;
   state.in_parts = false;
   state.current_at = std::max(state.current_at, since);
-  state.changes_unread = false;
+  state.changes_unavailable = false;
 }
 
 void ApplyAnnounced(State& state, const AnnouncedConfiguration& told) {
@@ -50,11 +50,11 @@
 }
 
 void ApplyAnnounced(State& state, const ReadEnded& read) {
-  state.told_missed = read.outdated;
+  state.announced_missed = read.outdated;
   if (read.outdated)
     state.configuration_wanted = true;
   else
-    ApplyAnnounced(state, state.reading_told);
+    ApplyAnnounced(state, state.reading_announced);
 }
 
 void ApplyConfiguration(State& state, const ReadEnded& read, Time since) {
@@ -62,10 +62,10 @@
     ApplyAnnounced(state, read);
     return;
   }
-  state.told_missed = false;
+  state.announced_missed = false;
   state.configuration_revision = std::max(state.configuration_revision, read.revision);
   state.configuration_at = std::max(state.configuration_at, since);
-  state.narrow = false;
+  state.split_reads = false;
 }
 
 void Take(const Settings& settings, State& state, const ReadEnded& read, Time now) {
@@ -75,31 +75,31 @@
   if (state.reading == ReadKind::kListing) state.listing_bytes = read.bytes;
   state.reading_since.reset();
   // The read that follows an outdated answer belongs to it.
-  if (!read.outdated) state.urgent_not_before = now + settings.between_urgent;
+  if (!read.outdated) state.urgent_read_not_before = now + settings.min_urgent_interval;
 }
 
 void Take(State& state, const ReadFailed& failure, Time now) {
   const bool changes = state.reading == ReadKind::kChanges;
   state.reading_since.reset();
-  state.not_before = now + failure.pause;
+  state.retry_not_before = now + failure.pause;
   if (ShowsServers(state.reading)) state.urgent = true;
   if (ShowsConfiguration(state.reading)) state.configuration_wanted = true;
-  if (state.reading == ReadKind::kAnnouncedConfiguration) state.told_missed = true;
-  if (changes && (failure.unanswered || failure.history_gone)) state.changes_unread = true;
-  if (state.reading == ReadKind::kListing && failure.unanswered) state.narrow = true;
+  if (state.reading == ReadKind::kAnnouncedConfiguration) state.announced_missed = true;
+  if (changes && (failure.unanswered || failure.history_gone)) state.changes_unavailable = true;
+  if (state.reading == ReadKind::kListing && failure.unanswered) state.split_reads = true;
 }
 
 /// What the changes since an earlier era's revision are cannot be asked for.
 void Take(State& state, const EraObserved& told) {
   if (!state.listed || told.era <= state.revision.era) return;
   state.urgent = true;
-  state.changes_unread = true;
+  state.changes_unavailable = true;
 }
 
 /// Another daemon has told whether there is a newer configuration, up to `revision` and at `at`.
 void ApplyConfigurationStatus(State& state, bool newer, StoreRevision revision, Time at, Time now) {
   if (newer) {
-    if (!state.configuration_wanted) state.wanted_since = now;
+    if (!state.configuration_wanted) state.configuration_wanted_since = now;
     state.configuration_wanted = true;
     state.told = AnnouncedConfiguration{revision, at};
     return;
@@ -150,7 +150,7 @@
   const Time since = state.reading_since.value_or(now);
   state.reading_since.reset();
   state.begun = true;
-  state.servers_not_before = now + settings.listing_patience;
+  state.servers_not_before = now + settings.listing_delay;
   state.configuration_revision = std::max(state.configuration_revision, page.revision);
   state.configuration_at = std::max(state.configuration_at, since);
 }
@@ -163,12 +163,12 @@
   state.reading_since.reset();
   state.listed = false;
   state.begun = true;
-  state.servers_not_before = now + settings.listing_patience;
+  state.servers_not_before = now + settings.listing_delay;
 }
 
 void Take(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
   if (relays.named && !state.relayed) {
-    state.relayed_since = now;
+    state.relays_known_since = now;
     AbandonListing(settings, state, now);
   }
   state.relayed = relays.named;
@@ -195,12 +195,12 @@
   state.in_parts = false;
   state.revision = taken.revision;
   state.current_at = std::max(state.current_at, taken.current_at);
-  state.changes_unread = false;
+  state.changes_unavailable = false;
   state.urgent = false;
 }
 
 Milliseconds LongestAge(const Settings& settings, const State& state) {
-  return state.watches ? settings.watcher_age : settings.longest_age;
+  return state.watches ? settings.max_watcher_age : settings.max_age;
 }
 
 /// @return whether servers come from relays, or may.
@@ -211,15 +211,15 @@
 
 /// @return when the store is to be read for servers.
 Time ServersDue(const Settings& settings, const State& state) {
-  const Time heard = std::max(state.watcher_heard_at, state.relayed_since);
+  const Time heard = std::max(state.watcher_heard_at, state.relays_known_since);
   if (!state.listed && MayUseRelays(state)) {
-    const Time patience = state.relayed ? heard + settings.listing_patience : Time{};
+    const Time patience = state.relayed ? heard + settings.listing_delay : Time{};
     return std::max(state.servers_not_before, patience);
   }
   if (!state.listed) return Time{};
   Time due = state.current_at + LongestAge(settings, state);
-  if (MayUseRelays(state)) return std::max(due, heard + settings.relay_patience);
-  if (state.urgent) due = std::min(due, state.urgent_not_before);
+  if (MayUseRelays(state)) return std::max(due, heard + settings.relay_timeout);
+  if (state.urgent) due = std::min(due, state.urgent_read_not_before);
   return due;
 }
 
@@ -227,8 +227,9 @@
   const Time due = state.configuration_at + LongestAge(settings, state);
   if (!state.configuration_wanted) return due;
   const bool from_relay = WantsConfiguration(state);
-  const Time patience = from_relay ? state.wanted_since + settings.configuration_patience : Time{};
-  return std::min(due, std::max(state.urgent_not_before, patience));
+  const Time patience =
+      from_relay ? state.configuration_wanted_since + settings.configuration_relay_timeout : Time{};
+  return std::min(due, std::max(state.urgent_read_not_before, patience));
 }
 
 bool ListingIsSmaller(const State& state, Time now) {
@@ -273,40 +274,40 @@
 Time NextRead(const Settings& settings, const State& state) {
   if (state.reading_since) return Time::max();
   // A clock that began with the machine may show less than the age.
-  if (!state.listed && !state.begun) return state.not_before;
-  const bool other_half = state.narrow && state.configuration_wanted;
-  if (other_half) return state.not_before;
+  if (!state.listed && !state.begun) return state.retry_not_before;
+  const bool other_half = state.split_reads && state.configuration_wanted;
+  if (other_half) return state.retry_not_before;
   const Time due = std::min(ServersDue(settings, state), ConfigurationDue(settings, state));
-  return std::max(due, state.not_before);
+  return std::max(due, state.retry_not_before);
 }
 
 Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now) {
-  const bool heard = now - state.watcher_heard_at < settings.watcher_silence;
-  const bool watcher_behind = now - state.watcher_current_at > settings.longest_age;
+  const bool heard = now - state.watcher_heard_at < settings.watcher_timeout;
+  const bool watcher_behind = now - state.watcher_current_at > settings.max_age;
   const bool together = !state.watches && heard && watcher_behind;
-  return together ? std::max(settings.longest_pause, settings.longest_age) : settings.longest_pause;
+  return together ? std::max(settings.max_retry_delay, settings.max_age) : settings.max_retry_delay;
 }
 
 bool WantsServers(const State& state) {
   if (!state.relayed || state.watches) return false;
   const bool listing = state.reading_since && ListsServers(state.reading);
-  return !listing && (!state.listed || state.urgent || state.changes_unread);
+  return !listing && (!state.listed || state.urgent || state.changes_unavailable);
 }
 
 ReadKind NextReadKind(const Settings& settings, const State& state, Time now) {
   // Halves take turns: news of servers, one after the other, would keep the configuration waiting.
-  const bool other_half = state.narrow && state.configuration_wanted;
+  const bool other_half = state.split_reads && state.configuration_wanted;
   if (other_half && state.configuration_at < state.current_at) return ReadKind::kConfiguration;
   const bool old = now >= state.current_at + LongestAge(settings, state);
   const bool servers = MayUseRelays(state) ? now >= ServersDue(settings, state)
                                            : !state.listed || state.urgent || old;
   const bool told = state.told && state.told->revision > state.configuration_revision;
-  if (!servers && told && !state.told_missed) return ReadKind::kAnnouncedConfiguration;
+  if (!servers && told && !state.announced_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
-  if (state.narrow) return ReadKind::kServers;
+  if (state.split_reads) return ReadKind::kServers;
   // Changes since a revision that was relayed leave out configurations before it.
   const bool changes_show_all =
-      state.listed && !state.changes_unread && state.ConfigurationIsCurrent();
+      state.listed && !state.changes_unavailable && state.ConfigurationIsCurrent();
   // What changed while relays were followed was never measured: a listing is bounded.
   const bool measured = !state.relayed || state.watches;
   if (!changes_show_all || !measured || ListingIsSmaller(state, now)) return ReadKind::kListing;
--- a/src/relay/follow_state.h
+++ b/src/relay/follow_state.h
@@ -16,7 +16,7 @@
 /// One daemon, the leader, watches the store closely; the others follow it: each asks it with its
 /// demand what has changed, and reads the store itself only when the answers stop, leave a gap or
 /// tell of a configuration. Nothing is weaker than without the relay: a daemon reads the store at
-/// the latest `longest_age` after the last moment at which it was known to know all, whoever told
+/// the latest `max_age` after the last moment at which it was known to know all, whoever told
 /// it so.
 ///
 /// That moment is counted without trust in clocks or networks. A follower counts an answer from the
@@ -52,23 +52,23 @@
 
 struct Settings {
   /// A daemon that knows no better reads the store so long after it last knew all.
-  Milliseconds longest_age{1'100};
+  Milliseconds max_age{1'100};
   /// The same for a watcher, on whose reads the others' knowledge depends.
-  Milliseconds watcher_age{300};
+  Milliseconds max_watcher_age{300};
   /// Least time between two reads for which there was a reason.
-  Milliseconds between_urgent{500};
+  Milliseconds min_urgent_interval{500};
   /// Between two reads of which the first failed.
-  Milliseconds longest_pause{500};
+  Milliseconds max_retry_delay{500};
   /// A watcher is asked twice a second: without two answers it is not heard any more.
-  Milliseconds watcher_silence{1'200};
+  Milliseconds watcher_timeout{1'200};
   /// A daemon that follows relays reads the store for servers itself when none has answered for so
   /// long.
-  Milliseconds relay_patience{3'500};
+  Milliseconds relay_timeout{3'500};
   /// One that knows no servers yet, and may be one of a large fleet that starts at once, lists them
   /// itself when nobody has told it where to ask by then.
-  Milliseconds listing_patience{8'000};
+  Milliseconds listing_delay{8'000};
   /// One that follows relays asks these for a newer configuration before it reads it itself.
-  Milliseconds configuration_patience{1'000};
+  Milliseconds configuration_relay_timeout{1'000};
 };
 
 /// What one read of the store asks for.
@@ -116,17 +116,17 @@
   bool reading_all = false;               ///< It lists all servers, page after page.
   bool urgent = false;                ///< There is a reason to read before `current_at` is too old.
   bool configuration_wanted = false;  ///< There is a configuration that is not known.
-  Time wanted_since{};                ///< Since when that was told.
+  Time configuration_wanted_since{};  ///< Since when that was told.
   std::optional<AnnouncedConfiguration> told;  ///< Which is wanted, if a watcher told of it.
-  AnnouncedConfiguration reading_told;         ///< Of the read under way.
-  bool told_missed = false;                    ///< The store answered with an older one than that.
+  AnnouncedConfiguration reading_announced;    ///< Of the read under way.
+  bool announced_missed = false;               ///< The store answered with an older one than that.
   Time watcher_heard_at{};
-  Time watcher_current_at{};    ///< The last answer's: at that time the watcher knew all.
-  bool changes_unread = false;  ///< The changes since `revision` could not be read.
-  bool narrow = false;          ///< A listing was not answered: servers and configuration apart.
-  Time not_before{};            ///< No read earlier, after a failed one.
-  Time urgent_not_before{};     ///< No read earlier just because it is urgent.
-  bool watches = false;         ///< Others follow this daemon.
+  Time watcher_current_at{};         ///< The last answer's: at that time the watcher knew all.
+  bool changes_unavailable = false;  ///< The changes since `revision` could not be read.
+  bool split_reads = false;       ///< A listing was not answered: servers and configuration apart.
+  Time retry_not_before{};        ///< No read earlier, after a failed one.
+  Time urgent_read_not_before{};  ///< No read earlier just because it is urgent.
+  bool watches = false;           ///< Others follow this daemon.
   /// The configuration is known, of the servers only that they are more than one page: they are
   /// listed later, or taken from a relay.
   bool begun = false;
@@ -135,7 +135,7 @@
   /// Answers to questions from before it do not tell, and say nothing of what is missing.
   bool in_parts = false;
   Time servers_not_before{};  ///< No listing of servers earlier, while there may be relays to ask.
-  Time relayed_since{};
+  Time relays_known_since{};
   double listing_bytes = 0;       ///< Of the last listing.
   double change_bytes_per_s = 0;  ///< Of changes, as measured or estimated last.
 
--- a/src/relay/relay_plan.cc
+++ b/src/relay/relay_plan.cc
@@ -59,7 +59,7 @@
   const auto daemons = static_cast<std::uint32_t>(members_.size()) + 1;
   const double least = from_daemons_ * (known.needed() ? kRelayRemovalFraction : 1);
   const bool understood = std::all_of(members_.begin(), members_.end(), [](const auto& seen) {
-    return seen.second.member.understands;
+    return seen.second.member.supports_relays;
   });
   RelayPlan next{known.number + 1, daemons, {}};
   if (from_daemons_ > 0 && daemons >= least && understood) next.zones = Choose(known);
--- a/src/relay/relay_plan.h
+++ b/src/relay/relay_plan.h
@@ -61,9 +61,9 @@
   struct Member {
     std::string address;  ///< "IP:PORT".
     ZoneId zone = 0;
-    double strength = 0;      ///< Of its machine: share of a core.
-    bool stopping = false;    ///< It is at a planned stop.
-    bool understands = true;  ///< Its build knows relays.
+    double strength = 0;          ///< Of its machine: share of a core.
+    bool stopping = false;        ///< It is at a planned stop.
+    bool supports_relays = true;  ///< Its build knows relays.
   };
 
   /// @param from_daemons fleets of fewer need none; 0: none does.
--- a/src/relay/relay_sources.cc
+++ b/src/relay/relay_sources.cc
@@ -94,7 +94,7 @@
 void RelaySources::UpdateCurrent(Time now) {
   if (order_.empty()) return;
   const milliseconds usual = previous_relay_silent_ ? kShortSilenceTimeout : kSilenceTimeout;
-  const milliseconds patience = patient_ ? kInitialSilenceTimeout : usual;
+  const milliseconds patience = learning_ ? kInitialSilenceTimeout : usual;
   const bool silent = silent_since_ != Time{} && now - silent_since_ >= patience;
   if (silent) {
     Next(now);
@@ -107,12 +107,12 @@
 
 std::string RelaySources::Current(Time now) {
   UpdateCurrent(now);
-  return order_.empty() || AtSelf() ? std::string() : order_[current_];
+  return order_.empty() || AtOwnPosition() ? std::string() : order_[current_];
 }
 
 bool RelaySources::Watches(Time now) {
   UpdateCurrent(now);
-  return AtSelf();
+  return AtOwnPosition();
 }
 
 void RelaySources::Asked(Time now) {
@@ -127,8 +127,8 @@
   if (age > kMaxRelayAge) Next(now);
 }
 
-void RelaySources::NoteOwnReads(bool fail, Time now) {
-  const bool read_fails = AtSelf() && fail;
+void RelaySources::RecordOwnReads(bool fail, Time now) {
+  const bool read_fails = AtOwnPosition() && fail;
   if (!read_fails) {
     failing_since_ = {};
     return;
@@ -141,7 +141,7 @@
   if (order_.empty() || order_[current_] != from) return;
   if (declined_since_ == Time{}) declined_since_ = now;
   // It is there; what is known here ages all the same.
-  if (patient_ && now - declined_since_ < kMaxDeclineTime) silent_since_ = {};
+  if (learning_ && now - declined_since_ < kMaxDeclineTime) silent_since_ = {};
 }
 
 }  // namespace moorfold
--- a/src/relay/relay_sources.h
+++ b/src/relay/relay_sources.h
@@ -28,7 +28,7 @@
   /// @return whether this daemon is a relay that watches the store now.
   bool Watches(Time now);
   /// Whether this daemon knows no servers yet: then relays are given time to learn of them first.
-  void SetPatient(bool patient) { patient_ = patient; }
+  void SetLearning(bool patient) { learning_ = patient; }
   /// It has been asked.
   void Asked(Time now);
   /// A relay has answered what it knows.
@@ -36,7 +36,7 @@
   void Heard(const std::string& from, std::chrono::microseconds age, Time now);
   /// Whether this daemon's reads of the store fail: a relay that reads it in vain asks others. One
   /// that is only slow goes on, or nobody might be left who reads it.
-  void NoteOwnReads(bool fail, Time now);
+  void RecordOwnReads(bool fail, Time now);
   /// A relay has said that it does not know enough itself, as after its start.
   void Declined(const std::string& from, Time now);
   bool Contains(const std::string& address) const;
@@ -48,7 +48,7 @@
   std::vector<std::string> SourcesOf(const ZoneRelays& zone) const;
   /// @return relays of the other zones, one of each in turn.
   std::vector<std::string> OtherZoneSources(const RelayPlan& plan) const;
-  bool AtSelf() const { return !order_.empty() && order_[current_] == address_; }
+  bool AtOwnPosition() const { return !order_.empty() && order_[current_] == address_; }
 
   std::string address_;
   ZoneId zone_;
@@ -56,7 +56,7 @@
   bool relay_ = false;        ///< Then this daemon itself stands in `order_`.
   std::size_t own_zone_ = 0;  ///< So many of `order_`, the first ones.
   std::size_t current_ = 0;
-  bool patient_ = false;
+  bool learning_ = false;
   Time failing_since_{};                ///< Of own reads; zero: they do not fail.
   bool previous_relay_silent_ = false;  ///< The relay before was silent.
   Time declined_since_{};  ///< Zero: the relay has not declined since it was chosen, or answered.
--- a/test/relay/change_log_test.cc
+++ b/test/relay/change_log_test.cc
@@ -16,7 +16,7 @@
 
 TEST_CASE("A change log tells the newest change of each server, in the order of revisions") {
   ChangeLog log;
-  CHECK_FALSE(log.Reaches(At(0)));  // Nothing was listed yet.
+  CHECK_FALSE(log.CoversSince(At(0)));  // Nothing was listed yet.
   log.Restart(At(10));
   log.Note("a", At(11), false);
   log.Note("b", At(12), false);
@@ -36,19 +36,19 @@
 TEST_CASE("A change log reaches back to its listing, and as far as it has room") {
   ChangeLog log;
   log.Restart(At(10));
-  CHECK(log.Reaches(At(10)));
-  CHECK_FALSE(log.Reaches(At(9)));
+  CHECK(log.CoversSince(At(10)));
+  CHECK_FALSE(log.CoversSince(At(9)));
   for (int change = 0; change < 5'000; ++change)
     log.Note("server-" + std::to_string(change), At(11 + change), false);
-  CHECK_FALSE(log.Reaches(At(10)));
-  CHECK(log.Reaches(At(5'010)));
+  CHECK_FALSE(log.CoversSince(At(10)));
+  CHECK(log.CoversSince(At(5'010)));
   CHECK(log.Since(At(5'009)).size() == 1);
   // Whatever it says it reaches is whole.
   std::int64_t first = 10;
-  while (!log.Reaches(At(first))) ++first;
+  while (!log.CoversSince(At(first))) ++first;
   CHECK(log.Since(At(first)).size() == static_cast<std::size_t>(5'010 - first));
   log.Restart(At(6'000));
-  CHECK_FALSE(log.Reaches(At(5'999)));
+  CHECK_FALSE(log.CoversSince(At(5'999)));
   CHECK(log.Since(At(6'000)).empty());
 }
 
@@ -58,14 +58,14 @@
   log.Advance(At(20));
   log.RecordListing(At(20), At(40));
   CHECK(log.newest() == At(40));
-  for (const std::int64_t known : {10, 20, 40, 45}) CHECK(log.Reaches(At(known)));
-  for (const std::int64_t known : {9, 21, 39}) CHECK_FALSE(log.Reaches(At(known)));
+  for (const std::int64_t known : {10, 20, 40, 45}) CHECK(log.CoversSince(At(known)));
+  for (const std::int64_t known : {9, 21, 39}) CHECK_FALSE(log.CoversSince(At(known)));
   // It does not grow without end: the oldest such times are forgotten with all before them.
   for (std::int64_t at = 40; at < 40'000; at += 40) log.RecordListing(At(at), At(at + 40));
-  CHECK_FALSE(log.Reaches(At(40)));
-  CHECK(log.Reaches(At(40'000)));
-  CHECK(log.Reaches(At(39'960)));
-  CHECK_FALSE(log.Reaches(At(39'961)));
+  CHECK_FALSE(log.CoversSince(At(40)));
+  CHECK(log.CoversSince(At(40'000)));
+  CHECK(log.CoversSince(At(39'960)));
+  CHECK_FALSE(log.CoversSince(At(39'961)));
 }
 
 TEST_CASE(
@@ -77,9 +77,9 @@
   log.Advance(At(272));
   log.RecordListing(At(272), {2, 244});
   CHECK(log.newest() == StoreRevision{2, 244});
-  CHECK_FALSE(log.Reaches(At(272)));
-  CHECK_FALSE(log.Reaches(At(244)));
-  CHECK(log.Reaches({2, 244}));
+  CHECK_FALSE(log.CoversSince(At(272)));
+  CHECK_FALSE(log.CoversSince(At(244)));
+  CHECK(log.CoversSince({2, 244}));
   CHECK(log.Since({2, 244}).empty());
   log.Note("b", {2, 257}, false);
   log.Advance({2, 258});
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -44,7 +44,7 @@
 
 follow::Settings FleetSettings() {
   follow::Settings settings{milliseconds(2'750), milliseconds(500), milliseconds(1'750)};
-  settings.relay_patience = milliseconds(3'500);
+  settings.relay_timeout = milliseconds(3'500);
   return settings;
 }
 
@@ -223,8 +223,8 @@
     Pull(daemon);
   }
   void TakeRole(Daemon& daemon) {
-    daemon.sources->SetPatient(!daemon.state.listed);
-    daemon.sources->NoteOwnReads(daemon.read_failed, now);
+    daemon.sources->SetLearning(!daemon.state.listed);
+    daemon.sources->RecordOwnReads(daemon.read_failed, now);
     const bool watches = daemon.sources->Watches(now);
     if (watches != daemon.state.watches) Decide(daemon, follow::RoleChanged{watches});
     Decide(daemon, follow::RelaysChanged{plan.needed() && !watches});
--- a/test/relay/follow_state_test.cc
+++ b/test/relay/follow_state_test.cc
@@ -232,13 +232,13 @@
 TEST_CASE("Followers of a watcher that cannot read the store either wait longer for the store") {
   const Time now = kStart + milliseconds(3'000);
   State state = Reduce(kSettings, Listed(7), Answer(7, 7, kStart), now).state;
-  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.longest_age);
-  CHECK(MaxRetryDelay(kSettings, state, now + milliseconds(1'300)) == kSettings.longest_pause);
+  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.max_age);
+  CHECK(MaxRetryDelay(kSettings, state, now + milliseconds(1'300)) == kSettings.max_retry_delay);
   const State leads = Reduce(kSettings, state, RoleChanged{true}, now).state;
-  CHECK(MaxRetryDelay(kSettings, leads, now) == kSettings.longest_pause);
+  CHECK(MaxRetryDelay(kSettings, leads, now) == kSettings.max_retry_delay);
   // The watcher reads the store: only this daemon does not reach it.
   state = Reduce(kSettings, state, Answer(7, 7, now - milliseconds(300)), now).state;
-  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.longest_pause);
+  CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.max_retry_delay);
 }
 
 TEST_CASE("A told configuration may be read from an older state, which its version shows") {
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -15,13 +15,13 @@
 /// A daemon's view of a shared store.
 struct Member {
   /// @param page_entries of the store's first page; 0: it holds all.
-  Member(boost::asio::io_context& context, KeyValueTable& table,
-         std::chrono::milliseconds longest_age, std::size_t page_entries = 0)
+  Member(boost::asio::io_context& context, KeyValueTable& table, std::chrono::milliseconds max_age,
+         std::size_t page_entries = 0)
       : store(context, table),
         log(-1, {}),
         view(context.get_executor()),
         store_view(context, store, protocol, view, metrics, log,
-                   {longest_age, std::chrono::milliseconds(10), std::chrono::milliseconds(10)}) {
+                   {max_age, std::chrono::milliseconds(10), std::chrono::milliseconds(10)}) {
     store.page_entries = page_entries;
     store_view.Start(
         "moorfold/leader", [](const std::optional<KeyValue>&, StoreRevision) {},
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -65,16 +65,16 @@
   follow::State state;
   Knowledge known;
   ChangeLog log;
-  StoreRevision told;          ///< Of the configuration that the watcher told of last.
-  StoreRevision reading_told;  ///< The same when the read under way began.
-  bool cut_off = false;        ///< From the store.
+  StoreRevision told;               ///< Of the configuration that the watcher told of last.
+  StoreRevision reading_announced;  ///< The same when the read under way began.
+  bool cut_off = false;             ///< From the store.
 };
 
 struct Harm {
-  bool claims_too_much = false;  ///< Something that is older than `current_at` is not known.
+  bool overstates_knowledge = false;  ///< Something that is older than `current_at` is not known.
   bool goes_back = false;
   bool too_old = false;  ///< Knowledge older than the bound, though the store can be read.
-  bool Any() const { return claims_too_much || goes_back || too_old; }
+  bool Any() const { return overstates_knowledge || goes_back || too_old; }
 };
 
 struct World {
@@ -171,7 +171,7 @@
   void Read(Daemon& daemon) {
     const ReadKind kind = follow::NextReadKind(kSettings, daemon.state, now);
     Reduce(daemon, follow::ReadBegun{kind});
-    daemon.reading_told = daemon.told;
+    daemon.reading_announced = daemon.told;
     const StoreRevision after = daemon.state.revision;
     if (daemon.cut_off || Chance(0.02)) {
       const bool unanswered = Chance(0.7);
@@ -214,7 +214,8 @@
     const StoreRevision older{at.era, std::max<std::int64_t>(1, at.number - 12)};
     const StoreRevision answered_at = Chance(0.5) ? at : older;
     Learn(daemon, kConfiguration, StoreAt(answered_at).at(kConfiguration), false);
-    return daemon.known[kConfiguration] >= daemon.reading_told || !rules.told_version_is_checked;
+    return daemon.known[kConfiguration] >= daemon.reading_announced ||
+           !rules.told_version_is_checked;
   }
   double TakeChanges(Daemon& daemon, StoreRevision after, StoreRevision at) {
     const StoreRevision known = daemon.state.revision;
@@ -262,7 +263,7 @@
     const milliseconds age = std::chrono::ceil<milliseconds>(now - current_at);
     answer.from_revision = from;
     answer.to_revision = watcher.log.newest();
-    answer.gap = !watcher.log.Reaches(from);
+    answer.gap = !watcher.log.CoversSince(from);
     const StoreRevision configuration = watcher.known[kConfiguration];
     std::vector<ChangeLog::Change> changes;
     if (!answer.gap || !rules.log_tells_its_reach) {
@@ -283,7 +284,7 @@
     const StoreRevision next = changes[kept].revision;
     changes.resize(kept);
     while (!changes.empty() && changes.back().revision == next) changes.pop_back();
-    if (changes.empty() || !watcher.log.Reaches(changes.back().revision)) {
+    if (changes.empty() || !watcher.log.CoversSince(changes.back().revision)) {
       answer.gap = true;
       changes.clear();
       return;
@@ -328,7 +329,7 @@
       const bool has = known != daemon.known.end();
       const bool stale = has && known->second < changed;
       const bool unheard_of = !has && !change.gone && !EndsAfter(change.key, changed);
-      if (stale || unheard_of) harm.claims_too_much = true;
+      if (stale || unheard_of) harm.overstates_knowledge = true;
     }
   }
   /// Whether the server goes after that revision: then who does not know it may know that.
@@ -340,7 +341,7 @@
   void CheckAge() {
     // A return is a disruption of the store: no bound is stated for how old knowledge may be then.
     if (rules.store_comes_back) return;
-    const milliseconds bound = kSettings.longest_age + 2 * kSlowestRead;
+    const milliseconds bound = kSettings.max_age + 2 * kSlowestRead;
     if (follower.cut_off || now < reachable_since + bound) return;
     if (now - std::min(follower.state.current_at, follower.state.configuration_at) > bound)
       harm.too_old = true;
@@ -428,9 +429,10 @@
 
 Harm PlayMany(const Rules& rules, std::uint32_t days) {
   Harm all;
-  for (std::uint32_t seed = 1; seed <= days && !all.claims_too_much && !all.goes_back; ++seed) {
+  for (std::uint32_t seed = 1; seed <= days && !all.overstates_knowledge && !all.goes_back;
+       ++seed) {
     const Harm harm = World(rules, seed).Play();
-    all.claims_too_much = all.claims_too_much || harm.claims_too_much;
+    all.overstates_knowledge = all.overstates_knowledge || harm.overstates_knowledge;
     all.goes_back = all.goes_back || harm.goes_back;
     all.too_old = all.too_old || harm.too_old;
   }
@@ -440,14 +442,14 @@
 TEST_CASE(
     "A follower knows what it claims to know, never goes back, and is never older than its bound") {
   const Harm harm = PlayMany({}, 400);
-  CHECK_FALSE(harm.claims_too_much);
+  CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.goes_back);
   CHECK_FALSE(harm.too_old);
 }
 
 TEST_CASE("It knows what it claims to know also where the store comes back from older copies") {
   const Harm harm = PlayMany({.store_comes_back = true}, 800);
-  CHECK_FALSE(harm.claims_too_much);
+  CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.goes_back);
 }
 
@@ -455,13 +457,13 @@
 // some seeds, with parts or without (docs/FINDINGS.md).
 TEST_CASE("It knows what it claims to know also where answers hold parts of what has changed") {
   const Harm harm = PlayMany({.parts = true}, 800);
-  CHECK_FALSE(harm.claims_too_much);
+  CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.goes_back);
 }
 
 TEST_CASE("Parts do harm where they are not marked, and where older answers vouch for them") {
-  CHECK(PlayMany({.parts_are_marked = false, .parts = true}, 400).claims_too_much);
-  CHECK(PlayMany({.older_yield_to_parts = false, .parts = true}, 800).claims_too_much);
+  CHECK(PlayMany({.parts_are_marked = false, .parts = true}, 400).overstates_knowledge);
+  CHECK(PlayMany({.older_yield_to_parts = false, .parts = true}, 800).overstates_knowledge);
 }
 
 TEST_CASE("Where the store comes back, harm is done where revisions have no eras") {
--- a/test/relay/relay_plan_test.cc
+++ b/test/relay/relay_plan_test.cc
@@ -123,7 +123,7 @@
     Fleet fleet;
     RelayPlanner::Member before = fleet.Member(0, 1);
     before.address = "10.9.0.1:7000";
-    before.understands = false;
+    before.supports_relays = false;
     fleet.planner.Note(before, fleet.now + seconds(2));
     CHECK_FALSE(fleet.RunFor({}, 3).needed());
     CHECK(fleet.RunFor({}, 12).needed());  // It is gone.
@@ -165,12 +165,12 @@
   sources.Asked(kStart);
   CHECK(sources.Watches(kStart + seconds(1)));
   CHECK(sources.Current(kStart + seconds(1)).empty());
-  sources.NoteOwnReads(true, kStart + seconds(2));
-  sources.NoteOwnReads(false, kStart + seconds(3));
-  sources.NoteOwnReads(true, kStart + seconds(59));
+  sources.RecordOwnReads(true, kStart + seconds(2));
+  sources.RecordOwnReads(false, kStart + seconds(3));
+  sources.RecordOwnReads(true, kStart + seconds(59));
   CHECK(sources.Watches(kStart + seconds(60)));
   // Where the store turns it away as well, relays of other zones are asked.
-  sources.NoteOwnReads(true, kStart + seconds(60));
+  sources.RecordOwnReads(true, kStart + seconds(60));
   CHECK(sources.Current(kStart + seconds(60)).starts_with("10.1."));
   // Another plan begins anew.
   RelayPlan next = TwoZones();
@@ -199,7 +199,7 @@
 
 TEST_CASE("Who knows nothing yet gives relays time to read the store") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
-  sources.SetPatient(true);
+  sources.SetLearning(true);
   const std::string first = sources.Current(kStart);
   for (int tenth = 0; tenth < 50; ++tenth) {
     const Time now = kStart + milliseconds(100 * tenth);
@@ -207,7 +207,7 @@
     sources.Asked(now);
     sources.Declined(first, now);
   }
-  sources.SetPatient(false);
+  sources.SetLearning(false);
   sources.Asked(kStart + seconds(5));
   sources.Declined(first, kStart + seconds(5));
   CHECK(sources.Current(kStart + seconds(6)) != first);
