--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -6,7 +6,7 @@
 
 std::size_t EncodedBytes(const ServerChange& change) {
   constexpr std::size_t kFixedBytes = 40;  ///< Revision, life, slots, port, flags, counts.
-  constexpr std::size_t kLengthBytes = 8;  ///< Before each text and list.
+  constexpr std::size_t kLengthBytes = 8;  ///< Length prefix of each string and list.
   const auto text = [](const std::string& value) { return kLengthBytes + value.size(); };
   const ServerRecord& record = change.record;
   std::size_t bytes = kFixedBytes + text(record.id) + text(record.service) +
@@ -31,7 +31,8 @@
   return told;
 }
 
-/// Takes off the end until no revision is there in part: one transaction may change several.
+/// Removes trailing changes of revision `next`, so that no revision is included only in part: one
+/// transaction may change several servers.
 void DropPartialRevision(std::vector<ServerChange>& servers, StoreRevision next) {
   while (!servers.empty() && servers.back().revision == next) servers.pop_back();
 }
@@ -64,7 +65,7 @@
   }
   if (answer.partial) {
     answer.to_revision = std::min(answer.to_revision, answer.servers.back().revision);
-    // From there the next part could not be told.
+    // The log could not supply the next part from this revision.
     if (!changes.CoversSince(answer.to_revision)) answer.gap = true;
   }
   answer.partial = answer.partial && !answer.gap;
--- a/src/relay/change_answer.h
+++ b/src/relay/change_answer.h
@@ -8,25 +8,25 @@
 
 namespace moorfold {
 
-/// @return a server's record as the watcher knows it now; null when it knows none.
+/// @return the watcher's current record of a server; null if it has none.
 using RecordFinder = std::function<const ServerRecord*(const std::string& server_id)>;
 
-/// Of servers in one answer: a datagram is lost whole when a part of it is lost, and the channel
-/// carries 8 kB.
+/// Limit for the servers in one answer: the channel carries 8 kB per datagram, and losing any IP
+/// fragment loses the whole datagram.
 inline constexpr std::size_t kMaxServersBytes = 7'000;
-/// @return an upper bound of what a change takes in a message.
+/// @return an upper bound of the encoded size of a change.
 std::size_t EncodedBytes(const ServerChange& change);
 
-/// Fills in what has changed since the question's revision: the newest state of each server that
-/// the log names. Where the log does not reach back so far, the answer says that there is a gap and
-/// holds none. Changes that are more than one datagram carries are told from the oldest on, as far
-/// as it goes; whoever takes no part, since its build could not tell it from all, hears of a gap.
-/// @param answer names the question's revision in `from_revision`.
-/// @param parts whether the asker takes parts.
+/// Fills in the changes since the requested revision: the newest state of each server in the log.
+/// If the log does not reach back that far, the answer reports a gap and holds no servers. If the
+/// changes exceed one datagram, the answer holds the oldest ones that fit. A requester whose build
+/// cannot distinguish a partial answer from a complete one gets a gap instead.
+/// @param answer holds the requested revision in `from_revision`.
+/// @param parts whether the requester accepts partial answers.
 void FillChanges(ChangeAnswer& answer, const ChangeLog& changes, const RecordFinder& find_record,
                  bool parts);
 
-/// @return whether nothing that a request's path needs differs: then a change is not relayed.
+/// @return whether all fields that request routing uses are equal; such a change is not relayed.
 bool EqualForRouting(const ServerRecord& left, const ServerRecord& right);
 
 }  // namespace moorfold
--- a/src/relay/change_log.cc
+++ b/src/relay/change_log.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// A follower that lacks more reads the store. Four changes of each of the 2,400 servers that this
-/// is designed for (CONTRIBUTING.md) would be more than a follower asks for at once; a change takes
-/// some 100 bytes here.
+/// A follower that lacks more changes reads the store. Four changes of each of the 2,400 servers of
+/// the design size (CONTRIBUTING.md) would exceed what a follower requests at once; a change takes
+/// about 100 bytes here.
 constexpr std::size_t kMaxChanges = 1'024;
-/// Followers ask twice a second, and a watcher lists a few times a second at most: whoever has not
-/// asked for so many listings reads the store.
+/// Followers send two requests a second, and a watcher lists the store at most a few times a
+/// second. A follower that has sent none during this many listings reads the store.
 constexpr std::size_t kMaxUnknownIntervals = 64;
 
 }  // namespace
@@ -44,7 +44,8 @@
 }
 
 void ChangeLog::RecordListing(StoreRevision from, StoreRevision to) {
-  // A newest revision of another era would tell followers that they know all of this one.
+  // Keeping the newest revision of an earlier era would wrongly tell followers that they are up to
+  // date in this era.
   if (started_ && to.era > newest_.era) Restart(to);
   Advance(to);
   if (!started_ || from.era != to.era || to.number - from.number < 2) return;
--- a/src/relay/change_log.h
+++ b/src/relay/change_log.h
@@ -13,9 +13,9 @@
 
 namespace moorfold {
 
-/// Which servers' entries changed at which revision of the store, newest change of each only. Tells
-/// a watcher what a follower lacks. It holds no records: the newest state of a server is its
-/// directory's. Bounded; pure; one thread.
+/// Log of the store revisions at which server entries changed, with only the newest change of each
+/// server. A watcher uses it to find the changes that a follower lacks. It holds no records: the
+/// server directory has the newest state. Bounded in size; no I/O; not thread-safe.
 class ChangeLog {
  public:
   struct Change {
@@ -24,15 +24,16 @@
     bool gone = false;
   };
 
-  /// Everything up to `revision` was listed at once: changes before it are not told apart.
+  /// Clears the log after a full listing at `revision`: it holds no individual changes up to there.
   void Restart(StoreRevision revision);
-  /// Everything up to `to` was listed at once, where everything up to `from` was known before. What
-  /// differs is noted, but a server that came and went in between was never seen: whoever knows
-  /// more than `from` and less than `to` may know it, and cannot be told that it is gone. Where
-  /// `to` is of a later era the log begins anew: what was written in the earlier one may be gone.
+  /// Records a full listing at `to` when everything up to `from` was known before. The caller notes
+  /// the differences, but a server that was added and removed in between was never observed: a
+  /// follower at a revision between `from` and `to` may know it, and this log cannot report its
+  /// removal. If `to` is in a later era the log restarts, since entries written in the earlier era
+  /// may no longer exist.
   void RecordListing(StoreRevision from, StoreRevision to);
   void Note(const std::string& server_id, StoreRevision revision, bool gone);
-  /// All changes up to `revision` have been noted.
+  /// Marks all changes up to `revision` as recorded.
   void Advance(StoreRevision revision);
 
   StoreRevision newest() const { return newest_; }
@@ -42,7 +43,7 @@
   std::vector<Change> Since(StoreRevision revision) const;
 
  private:
-  /// Between two revisions, without them, nothing is known to be complete.
+  /// Revisions strictly between `from` and `to`, for which the log may lack removals.
   struct UnknownInterval {
     StoreRevision from;
     StoreRevision to;
@@ -50,12 +51,12 @@
   void EvictOldest();
 
   bool started_ = false;
-  StoreRevision oldest_;  ///< Changes after this one are in the log.
-  StoreRevision newest_;  ///< Changes up to this one are in the log.
+  StoreRevision oldest_;  ///< The log holds the changes after this one.
+  StoreRevision newest_;  ///< The log holds the changes up to this one.
   std::multimap<StoreRevision, Change>
       changes_;  ///< By revision; one transaction may change several.
-  std::unordered_map<std::string, StoreRevision> revisions_;  ///< Of each server's change.
-  std::deque<UnknownInterval> unknown_intervals_;             ///< In the order of revisions.
+  std::unordered_map<std::string, StoreRevision> revisions_;  ///< Revision of each server's change.
+  std::deque<UnknownInterval> unknown_intervals_;             ///< Ordered by revision.
 };
 
 }  // namespace moorfold
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Of one part: with it a message is no longer than a datagram of the channel.
+/// Size of one part, chosen so that a message fits in one datagram of the channel.
 constexpr std::size_t kMaxPartBytes = 7'000;
-/// A part takes some milliseconds on its way.
+/// A part takes a few milliseconds in transit.
 constexpr std::chrono::milliseconds kRetryInterval{150};
 
 std::uint64_t DigestOf(const std::string& text, std::int64_t version) {
--- a/src/relay/configuration_reader.h
+++ b/src/relay/configuration_reader.h
@@ -9,37 +9,37 @@
 
 namespace moorfold {
 
-/// @return the part of the text that is asked for; nothing where it has no such part.
-/// @param revision of the store's entry with this text.
+/// @return the requested part of the text; nullopt if there is no such part.
+/// @param revision of the store entry that holds this text.
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
                                         const ConfigurationRequest& question);
 
-/// Asks relays for the text of one version of the configuration, part by part. Only a text that is
-/// whole, by the digest that each part tells, is taken for it. Pure; one thread.
+/// Fetches the text of one configuration version from relays, part by part. Accepts only a complete
+/// text that matches the digest carried in each part. No I/O; not thread-safe.
 class ConfigurationReader {
  public:
   using Time = BootClock::time_point;
 
   struct Text {
     std::string bytes;
-    StoreRevision revision;  ///< Of the store's entry.
+    StoreRevision revision;  ///< Revision of the store entry.
   };
 
-  /// Begins with that version, unless it is under way.
+  /// Starts fetching `version`, unless that is already in progress.
   void Want(std::int64_t version);
   void Stop() { *this = ConfigurationReader(); }
   bool running() const { return version_ >= 0; }
-  /// @return the question that is to be sent now, if any.
+  /// @return the request to send now, if any.
   std::optional<ConfigurationRequest> Due(Time now);
-  /// @return the text, with its last part.
+  /// @return the complete text after its last part; nullopt before.
   std::optional<Text> Take(const ConfigurationPart& part);
 
  private:
   std::int64_t version_ = -1;
   std::uint32_t next_part_ = 0;
-  std::uint64_t digest_ = 0;  ///< As the first part tells it.
+  std::uint64_t digest_ = 0;  ///< Digest carried in the first part.
   std::string bytes_;
-  Time asked_at_{};  ///< Zero: the next part was not asked for.
+  Time asked_at_{};  ///< Zero: the next part has not been requested.
 };
 
 }  // namespace moorfold
--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -11,12 +11,14 @@
 
 namespace moorfold {
 
-/// From a follower to the watcher, beside its demand: what has changed in the store since?
+/// Sent by a follower to the watcher with its demand report: requests the store changes after
+/// `revision`.
 struct ChangeRequest {
-  /// When it was asked, by the follower's steady clock in microseconds. The answer brings it back,
-  /// so that its age can be told without a clock that both share.
+  /// Send time by the follower's steady clock, in microseconds. The answer echoes it, so that the
+  /// follower can compute the answer's age without synchronized clocks.
   std::int64_t asked_at_us = 0;
-  /// The follower knows all changes up to this one. Its era is an added field of the report.
+  /// The follower has all changes up to this revision. Its era is encoded as an added field of the
+  /// report.
   StoreRevision revision;
 
   template <typename Archive>
@@ -25,11 +27,11 @@
   }
 };
 
-/// A server's newest state. Weights in its memory and on its disk are left out: only a watcher
-/// needs them, and it reads the store itself.
+/// The newest state of a server. The weights in its memory and on its disk are omitted: only a
+/// watcher needs them, and it reads the store itself.
 struct ServerChange {
-  StoreRevision revision;  ///< Of the change in the store; of the answer's era.
-  bool gone = false;       ///< Its entry is gone: only `record.id` counts.
+  StoreRevision revision;  ///< Of the change in the store; in the era of the answer.
+  bool gone = false;       ///< The entry was deleted: only `record.id` is valid.
   ServerRecord record;
 
   template <typename Archive>
@@ -42,33 +44,34 @@
   }
 };
 
-/// From the watcher to one follower: what it has asked for.
+/// The watcher's answer to one follower's ChangeRequest.
 struct ChangeAnswer {
-  std::int64_t asked_at_us = 0;  ///< Of the question.
-  /// Whether the sender relays changes. If not, nothing below counts but `daemons` and `leads`.
+  std::int64_t asked_at_us = 0;  ///< Copied from the request.
+  /// Whether the sender relays changes. If not, only `daemons` and `leads` below are valid.
   bool relays = false;
-  bool leads = true;  ///< False: the sender leads no more, whatever the store said last.
-  /// The sender cannot say what changed: its log does not reach back so far, or it is more than a
-  /// datagram carries. The follower has to read the store itself.
+  bool leads = true;  ///< False: the sender is no longer leader, even if the store last named it.
+  /// The sender cannot list the changes: its log does not reach back to the requested revision, or
+  /// the changes exceed one datagram. The follower must read the store itself.
   bool gap = false;
-  /// `servers` holds the changes after this one .. Where there is a gap, this is the question's.
+  /// `servers` holds the changes after this revision. With a gap, this is the requested revision.
   StoreRevision from_revision;
-  StoreRevision to_revision;  ///< .. up to this one, the newest that the sender knows.
-  /// How long before the question came the sender learnt from the store that nothing newer exists.
+  StoreRevision to_revision;  ///< Last revision covered: the newest one that the sender knows.
+  /// Time between the store's last confirmation to the sender that nothing newer exists and the
+  /// arrival of the request.
   std::int64_t age_us = 0;
   std::int64_t configuration_version =
-      0;                      ///< The newest that the sender knows; not relayed itself.
-  std::uint32_t daemons = 1;  ///< How many report to the sender, itself included.
+      0;  ///< Newest version known to the sender; the configuration itself is not included.
+  std::uint32_t daemons = 1;  ///< Number of daemons that report to the sender, including itself.
   std::vector<ServerChange> servers;
-  /// "IP:PORT" of some daemons that report to the sender, others each time: daemons must reach each
-  /// other while nobody leads.
+  /// "IP:PORT" of some daemons that report to the sender, a different subset each time: daemons
+  /// must be able to reach each other while there is no leader.
   std::vector<std::string> peers;
-  std::uint64_t quarantine_digest = 0;  ///< Of the sender's case book.
-  /// Only the oldest of the changes are here, up to `to_revision`, as many as a datagram carries:
-  /// more follow, and nothing is known to be complete before. An added field; told only to builds
-  /// that know relays.
+  std::uint64_t quarantine_digest = 0;  ///< Digest of the sender's case book.
+  /// The answer holds only the oldest changes, up to `to_revision`, as many as fit in a datagram.
+  /// More follow, and the follower's data is not complete until then. An added field, set only for
+  /// builds that support relays.
   bool partial = false;
-  /// "IP:PORT" of the leader as the sender knows it; empty: of none. An added field.
+  /// "IP:PORT" of the leader known to the sender; empty if none is known. An added field.
   std::string leader;
 
   template <typename Archive>
@@ -78,11 +81,10 @@
   }
 };
 
-/// From a daemon to a relay: which servers are there? They come page by page, in the order of their
-/// ids.
+/// Sent by a daemon to a relay: requests one page of all servers, ordered by id.
 struct ServersRequest {
   std::int64_t asked_at_us = 0;  ///< As in ChangeRequest.
-  std::string after;             ///< The page begins with the first id after this one.
+  std::string after;             ///< The page starts at the first id after this one.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -90,18 +92,20 @@
   }
 };
 
-/// One page of all servers that a relay knows. Pages are no snapshot of one moment: whoever has all
-/// knows what was there at the revision of the first, and asks for the changes since then.
+/// One page of all servers that a relay knows. The pages are not a consistent snapshot: a daemon
+/// that has received all of them has every change up to the revision of the first page, and then
+/// requests the changes since that revision.
 struct ServersPage {
-  std::int64_t asked_at_us = 0;  ///< Of the question.
-  std::string after;             ///< The same.
-  /// Whether the sender watches the store and has read it. If not, nothing below counts.
+  std::int64_t asked_at_us = 0;  ///< Copied from the request.
+  std::string after;             ///< Copied from the request.
+  /// Whether the sender watches the store and has read it. If not, no field below is valid.
   bool relays = false;
-  std::string last;         ///< The page holds every server from `after` up to and with this id.
-  bool more = false;        ///< There are servers after `last`.
-  StoreRevision revision;   ///< All changes up to this one are in it. Its era is an added field.
-  std::int64_t age_us = 0;  ///< As in ChangeAnswer.
-  std::int64_t configuration_version = 0;  ///< The same.
+  std::string last;   ///< The page holds every server after `after` up to and including this id.
+  bool more = false;  ///< There are servers after `last`.
+  StoreRevision
+      revision;  ///< The page includes all changes up to this one. Its era is an added field.
+  std::int64_t age_us = 0;                 ///< As in ChangeAnswer.
+  std::int64_t configuration_version = 0;  ///< As in ChangeAnswer.
   std::vector<ServerChange> servers;
 
   template <typename Archive>
@@ -111,10 +115,10 @@
   }
 };
 
-/// From a daemon to a relay: a part of the text of that version of the configuration.
+/// Sent by a daemon to a relay: requests one part of the text of a configuration version.
 struct ConfigurationRequest {
   std::int64_t version = 0;
-  std::uint32_t part = 0;  ///< Counted from 0.
+  std::uint32_t part = 0;  ///< Zero-based index.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -122,13 +126,13 @@
   }
 };
 
-/// That part, as it stands in the store.
+/// One part of a configuration's text, exactly as stored.
 struct ConfigurationPart {
   std::int64_t version = 0;
   std::uint32_t part = 0;
-  bool more = false;         ///< There are parts after it.
-  std::uint64_t digest = 0;  ///< Of the whole text.
-  StoreRevision revision;    ///< Of the store's entry. Its era is an added field.
+  bool more = false;         ///< More parts follow.
+  std::uint64_t digest = 0;  ///< Digest of the whole text.
+  StoreRevision revision;    ///< Revision of the store entry. Its era is an added field.
   std::string bytes;
 
   template <typename Archive>
--- a/src/relay/relay_plan.cc
+++ b/src/relay/relay_plan.cc
@@ -10,23 +10,23 @@
 
 using std::chrono::milliseconds;
 
-/// One takes over from the other without waiting for a new plan.
+/// With two, one relay takes over from the other without waiting for a new plan.
 constexpr std::size_t kMinRelaysPerZone = 2;
-/// Daemons that one relay answers. All start at once: each takes some hundreds of pages then.
+/// Daemons that one relay serves. When all start at once, each fetches some hundreds of pages.
 constexpr std::size_t kDaemonsPerRelay = 60;
-/// Daemons report every three seconds at the least; one report may be lost.
+/// Daemons report at least every three seconds; one report may be lost.
 constexpr milliseconds kMemberTimeout{8'000};
-/// A fleet that starts at once has reported by then, twice.
+/// By then every daemon of a fleet that starts at once has reported twice.
 constexpr milliseconds kFirstPlanDelay{1'500};
-/// A new leader knows of all that live by then.
+/// By then a new leader has heard from all live daemons.
 constexpr milliseconds kReplanDelay{9'000};
-/// A fleet is small again only well below the size at which it became large.
+/// Hysteresis: relays are removed only well below the fleet size at which they were introduced.
 constexpr double kRelayRemovalFraction = 0.75;
 
 }  // namespace
 
 ZoneId ZoneIdOf(const std::string& zone) {
-  constexpr unsigned kSignBit = 1;  // Identifiers are positive, 0 stands for none.
+  constexpr unsigned kSignBit = 1;  // Identifiers are positive; 0 means no zone.
   return static_cast<ZoneId>(XXH64(zone.data(), zone.size(), 0) >> kSignBit) | 1;
 }
 
@@ -53,7 +53,7 @@
 
 RelayPlan RelayPlanner::Plan(const RelayPlan& known, Time leading_since, Time now) {
   std::erase_if(members_, [&](const auto& seen) { return now - seen.second.at > kMemberTimeout; });
-  // Who has not been heard of yet is not gone.
+  // A daemon that has not reported to this leader yet may still be alive.
   const milliseconds count_after = known.needed() ? kReplanDelay : kFirstPlanDelay;
   if (now - leading_since < count_after) return known;
   const auto daemons = static_cast<std::uint32_t>(members_.size()) + 1;
--- a/src/relay/relay_plan.h
+++ b/src/relay/relay_plan.h
@@ -12,15 +12,16 @@
 
 namespace moorfold {
 
-/// Stands for a zone in messages: the same number at every daemon.
+/// Identifies a zone in messages; every daemon derives the same number.
 using ZoneId = std::int64_t;
 ZoneId ZoneIdOf(const std::string& zone);
 
 /// The relays of one zone.
 struct ZoneRelays {
   ZoneId zone = 0;
-  /// "IP:PORT" at which they hear questions. The first watches the store. Each other one asks those
-  /// before it, watches the store where all of these are silent, and answers the zone's daemons.
+  /// "IP:PORT" at which relays receive requests. The first relay watches the store. Every other
+  /// relay asks those before it, watches the store if none of them answers, and answers the daemons
+  /// of the zone.
   std::vector<std::string> relays;
 
   bool operator==(const ZoneRelays&) const = default;
@@ -30,18 +31,18 @@
   }
 };
 
-/// Which daemons of a large fleet watch the store, and which pass on what those know, so that all
-/// others ask neither the store nor the leader: what the store serves grows with the zones, and
-/// what one daemon answers does not grow. Told by the leader, and kept in the store for daemons
-/// that start. A plan that is out of date does no harm: a daemon that is no relay says so, and is
-/// left for another.
+/// Assigns the daemons of a large fleet that watch the store and those that forward its data, so
+/// that all other daemons ask neither the store nor the leader. Load on the store then grows with
+/// the number of zones, and load on a single daemon stays constant. The leader distributes the plan
+/// and keeps it in the store for starting daemons. An outdated plan is harmless: a daemon that is
+/// not a relay says so, and the requester moves on to another.
 struct RelayPlan {
-  std::int64_t number = 0;        ///< Rises with each plan; 0: none was made yet.
-  std::uint32_t daemons = 0;      ///< Of the fleet, as counted when it was made.
-  std::vector<ZoneRelays> zones;  ///< None: the fleet is too small to need relays.
+  std::int64_t number = 0;        ///< Increases with each plan; 0: no plan was made yet.
+  std::uint32_t daemons = 0;      ///< Size of the fleet when the plan was made.
+  std::vector<ZoneRelays> zones;  ///< Empty: the fleet is too small to need relays.
 
   bool needed() const { return !zones.empty(); }
-  /// @return whether the daemon at that address is a relay.
+  /// @return whether the daemon at `address` is a relay.
   bool Names(const std::string& address) const;
   std::vector<std::string> AllRelays() const;
 
@@ -52,8 +53,8 @@
   }
 };
 
-/// Chooses relays, at the leader: in each zone the strongest, more the more daemons it has, and as
-/// far as possible those of the plan before. Pure; one thread.
+/// Chooses relays at the leader: the strongest daemons of each zone, in proportion to the size of
+/// the zone, keeping relays of the previous plan where possible. No I/O; not thread-safe.
 class RelayPlanner {
  public:
   using Time = BootClock::time_point;
@@ -61,19 +62,19 @@
   struct Member {
     std::string address;  ///< "IP:PORT".
     ZoneId zone = 0;
-    double strength = 0;          ///< Of its machine: share of a core.
-    bool stopping = false;        ///< It is at a planned stop.
-    bool supports_relays = true;  ///< Its build knows relays.
+    double strength = 0;          ///< Capacity of its machine as a share of a core.
+    bool stopping = false;        ///< The daemon is in a planned shutdown.
+    bool supports_relays = true;  ///< Whether its build supports relays.
   };
 
-  /// @param from_daemons fleets of fewer need none; 0: none does.
+  /// @param from_daemons minimum fleet size for relays; 0 disables relays.
   explicit RelayPlanner(std::uint32_t from_daemons) : from_daemons_(from_daemons) {}
 
-  /// A daemon has reported.
+  /// Records a report of a daemon.
   void Note(const Member& member, Time now);
-  /// @param known the plan in force, by this leader or the one before.
-  /// @param leading_since when this daemon began to lead.
-  /// @return the plan that is to be in force; `known` where nothing needs to change.
+  /// @param known the plan in force, made by this leader or its predecessor.
+  /// @param leading_since when this daemon became leader.
+  /// @return the new plan; `known` if nothing needs to change.
   RelayPlan Plan(const RelayPlan& known, Time leading_since, Time now);
 
  private:
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -5,7 +5,7 @@
 namespace moorfold {
 
 namespace {
-/// A page takes some milliseconds on its way: one that takes longer is lost, or its relay is slow.
+/// A page takes a few milliseconds in transit; after this delay it is lost or the relay is slow.
 constexpr std::chrono::milliseconds kRetryInterval{300};
 }  // namespace
 
@@ -14,7 +14,7 @@
   const bool open = asked_at_us_ || (declined_ && after_.empty());
   if (open && now - sent_at_ < kRetryInterval) return std::nullopt;
   sent_at_ = now;
-  // Asked again, it is the same question: a relay that is slow is answered by its first answer.
+  // A retry repeats the same request, so that the first answer of a slow relay still matches.
   if (!asked_at_us_) {
     asked_at_ = now;
     asked_at_us_ =
@@ -32,7 +32,7 @@
   const bool asked = running_ && asked_at_us_ == page.asked_at_us && page.after == after_;
   if (!asked) return Taken::kIgnored;
   if (!page.relays) {
-    // Asked again after the usual pause, from the beginning: another relay may answer then.
+    // Restarts from the first page after the retry interval: another relay may answer then.
     const Time sent_at = sent_at_;
     Begin();
     sent_at_ = sent_at;
--- a/src/relay/snapshot_reader.h
+++ b/src/relay/snapshot_reader.h
@@ -9,18 +9,18 @@
 
 namespace moorfold {
 
-/// Asks a relay for all its servers, page by page: one question at a time, again when its answer is
-/// late, and from the beginning where the relay is another one or has lost what it knew. Pure; one
-/// thread.
+/// Fetches all servers from a relay page by page, with one outstanding request at a time. Retries a
+/// late page, and restarts from the first page if another relay answers or the relay has lost its
+/// state. No I/O; not thread-safe.
 class SnapshotReader {
  public:
   using Time = BootClock::time_point;
 
   enum class Taken {
-    kIgnored,   ///< Not what was asked for: the page is to be left alone.
-    kDeclined,  ///< The relay does not know all servers itself.
-    kPage,      ///< The page is to be taken over; more follow.
-    kWhole      ///< The page is to be taken over, and was the last.
+    kIgnored,   ///< Not the requested page: the caller must discard it.
+    kDeclined,  ///< The relay does not have all servers itself.
+    kPage,      ///< The caller must apply the page; more follow.
+    kWhole      ///< The caller must apply the page; it is the last.
   };
 
   void Begin() {
@@ -30,14 +30,14 @@
   void Stop() { *this = SnapshotReader(); }
   bool running() const { return running_; }
 
-  /// @return the question that is to be sent now, if any.
+  /// @return the request to send now, if any.
   std::optional<ServersRequest> Due(Time now);
   /// @param from "IP:PORT" of the sender.
   Taken Take(const ServersPage& page, const std::string& from);
 
-  /// Of the first page: once all are taken, everything up to it is known.
+  /// Revision of the first page. After the last page, all changes up to it are known.
   StoreRevision revision() const { return revision_; }
-  /// The same: at that time the relay knew of nothing newer.
+  /// Time, from the first page, at which the relay's data was known to be current.
   Time current_at() const { return current_at_; }
 
  private:
@@ -45,13 +45,13 @@
 
   bool running_ = false;
   std::string after_;
-  std::string relay_;  ///< That has sent the first page; empty before.
+  std::string relay_;  ///< Sender of the first page; empty before it arrives.
   StoreRevision revision_;
   Time current_at_{};
-  std::optional<std::int64_t> asked_at_us_;  ///< Of the question that is open.
-  Time asked_at_{};                          ///< When that was sent first ..
-  Time sent_at_{};                           ///< .. and last.
-  bool declined_ = false;                    ///< The relay asked last has declined.
+  std::optional<std::int64_t> asked_at_us_;  ///< Identifies the outstanding request.
+  Time asked_at_{};                          ///< When the outstanding request was first sent.
+  Time sent_at_{};                           ///< When a request was last sent.
+  bool declined_ = false;                    ///< The last answer was a decline.
 };
 
 }  // namespace moorfold
