--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A rate of changes over less time says little: some few of them come together.
+/// A change rate over a shorter interval is unreliable, since changes arrive in small bursts.
 constexpr std::chrono::duration<double> kMinRateInterval{0.1};
 
 double SecondsBetween(Time from, Time to) {
@@ -17,7 +17,7 @@
   return kind != ReadKind::kConfiguration && kind != ReadKind::kAnnouncedConfiguration;
 }
 bool ShowsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
-/// @return whether the answer is what is now, not what has changed.
+/// @return whether the answer holds the current state of servers rather than changes.
 bool ListsServers(ReadKind kind) {
   return kind == ReadKind::kListing || kind == ReadKind::kServers;
 }
@@ -26,7 +26,7 @@
   state.reading_since = now;
   state.reading = read.kind;
   state.reading_all = ListsServers(read.kind) && (state.listed || state.begun);
-  // Whatever was heard before, this read will show.
+  // This read covers everything that was announced before.
   if (ShowsServers(read.kind)) state.urgent = false;
   if (ShowsConfiguration(read.kind)) state.configuration_wanted = false;
   if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.told;
@@ -36,7 +36,7 @@
   const bool lists = ListsServers(state.reading);
   if (read.change_bytes && state.listed)
     state.change_bytes_per_s = *read.change_bytes / SecondsBetween(state.current_at, since);
-  // A listing says all there is, whatever was known before.
+  // A listing is complete, so it replaces the previous revision even if that was higher.
   state.revision = lists ? read.revision : std::max(state.revision, read.revision);
   state.listed = state.listed || lists;
   state.in_parts = false;
@@ -74,7 +74,7 @@
   if (ShowsConfiguration(state.reading)) ApplyConfiguration(state, read, since);
   if (state.reading == ReadKind::kListing) state.listing_bytes = read.bytes;
   state.reading_since.reset();
-  // The read that follows an outdated answer belongs to it.
+  // The read that follows an outdated answer is not delayed as another urgent read.
   if (!read.outdated) state.urgent_read_not_before = now + settings.min_urgent_interval;
 }
 
@@ -89,14 +89,14 @@
   if (state.reading == ReadKind::kListing && failure.unanswered) state.split_reads = true;
 }
 
-/// What the changes since an earlier era's revision are cannot be asked for.
+/// Changes since a revision of an earlier era cannot be requested from the store.
 void Take(State& state, const EraObserved& told) {
   if (!state.listed || told.era <= state.revision.era) return;
   state.urgent = true;
   state.changes_unavailable = true;
 }
 
-/// Another daemon has told whether there is a newer configuration, up to `revision` and at `at`.
+/// Another daemon reported whether a newer configuration exists, as of `revision` and time `at`.
 void ApplyConfigurationStatus(State& state, bool newer, StoreRevision revision, Time at, Time now) {
   if (newer) {
     if (!state.configuration_wanted) state.configuration_wanted_since = now;
@@ -104,32 +104,32 @@
     state.told = AnnouncedConfiguration{revision, at};
     return;
   }
-  // Unless a later answer, which overtook this one, told of a configuration.
+  // A later answer that overtook this one may already have announced a newer configuration.
   const bool newest = !state.told || state.told->revision <= revision;
   if (newest && at > state.configuration_at) state.configuration_wanted = false;
   state.configuration_revision = std::max(state.configuration_revision, revision);
   state.configuration_at = std::max(state.configuration_at, at);
 }
 
-/// @return whether the changes are to be taken over.
+/// @return whether to apply the changes.
 bool Take(State& state, const Relayed& answer, Time now) {
   if (!answer.retired && answer.to_revision.era < state.revision.era) return false;
   if (!answer.retired) {
     state.watcher_heard_at = now;
     state.watcher_current_at = answer.current_at;
   }
-  // What a listing under way shows may be older than what is relayed meanwhile.
+  // A listing in progress may return older data than what is relayed meanwhile.
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (!state.listed || listing) return false;
   const bool other_era = answer.to_revision.era != state.revision.era;
   if (!answer.retired && other_era) Take(state, EraObserved{answer.to_revision.era});
   const bool gap = answer.gap || other_era || answer.from_revision > state.revision;
   if (answer.retired || gap) {
-    state.urgent = true;  // A read from the present revision brings what is missing.
+    state.urgent = true;  // A read from the current revision returns the missing changes.
     return false;
   }
-  // What came and went before the watcher's last listing stands in no log. The watcher has vouched
-  // for what is missing since the question's revision, not since one that was read meanwhile.
+  // A server that was added and removed before the watcher's last listing is in no log. The watcher
+  // confirmed completeness since the requested revision only, not since one read in the meantime.
   const bool read_meanwhile =
       answer.from_revision < state.revision && answer.to_revision > state.revision;
   if (read_meanwhile || (state.in_parts && answer.from_revision < state.revision)) return false;
@@ -137,10 +137,10 @@
                            now);
   const bool apply = answer.to_revision > state.revision;
   state.revision = std::max(state.revision, answer.to_revision);
-  // What is still to come may be as old as what this part holds.
+  // The missing changes may be as old as those in this part.
   state.in_parts = answer.partial;
   if (answer.partial) return apply;
-  // Nothing is missing any more as of a later time than was known.
+  // The data is now complete as of a later time than before.
   if (answer.current_at > state.current_at) state.urgent = false;
   state.current_at = std::max(state.current_at, answer.current_at);
   return apply;
@@ -155,9 +155,9 @@
   state.configuration_at = std::max(state.configuration_at, since);
 }
 
-/// Relays are named while all servers are being listed: these come from a relay instead. Were each
-/// daemon of a large fleet to read its listing to the end, they would take up the store for longer
-/// than a leader's lease, and the relays' own listings would wait behind them.
+/// Abandons a listing of all servers when relays are named, and takes the servers from a relay. If
+/// every daemon of a large fleet finished its listing, the store would be busy for longer than a
+/// leader's lease, and the listings of the relays would queue behind the others.
 void AbandonListing(const Settings& settings, State& state, Time now) {
   if (!state.reading_since || !state.reading_all || state.watches) return;
   state.reading_since.reset();
@@ -188,7 +188,7 @@
 }
 
 void Take(State& state, const ServersTaken& taken) {
-  // A read of the store meanwhile, or under way, shows more.
+  // A read of the store that finished meanwhile or is in progress has newer data.
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (listing || (state.listed && taken.revision < state.revision)) return;
   state.listed = true;
@@ -203,18 +203,18 @@
   return state.watches ? settings.max_watcher_age : settings.max_age;
 }
 
-/// @return whether servers come from relays, or may.
+/// @return whether servers come from relays, or may do so once relays are named.
 bool MayUseRelays(const State& state) {
   if (state.watches) return false;
   return state.relayed || (state.begun && !state.listed);
 }
 
-/// @return when the store is to be read for servers.
+/// @return when to read servers from the store.
 Time ServersDue(const Settings& settings, const State& state) {
   const Time heard = std::max(state.watcher_heard_at, state.relays_known_since);
   if (!state.listed && MayUseRelays(state)) {
-    const Time patience = state.relayed ? heard + settings.listing_delay : Time{};
-    return std::max(state.servers_not_before, patience);
+    const Time earliest = state.relayed ? heard + settings.listing_delay : Time{};
+    return std::max(state.servers_not_before, earliest);
   }
   if (!state.listed) return Time{};
   Time due = state.current_at + LongestAge(settings, state);
@@ -227,9 +227,9 @@
   const Time due = state.configuration_at + LongestAge(settings, state);
   if (!state.configuration_wanted) return due;
   const bool from_relay = WantsConfiguration(state);
-  const Time patience =
+  const Time earliest =
       from_relay ? state.configuration_wanted_since + settings.configuration_relay_timeout : Time{};
-  return std::min(due, std::max(state.urgent_read_not_before, patience));
+  return std::min(due, std::max(state.urgent_read_not_before, earliest));
 }
 
 bool ListingIsSmaller(const State& state, Time now) {
@@ -273,7 +273,7 @@
 
 Time NextRead(const Settings& settings, const State& state) {
   if (state.reading_since) return Time::max();
-  // A clock that began with the machine may show less than the age.
+  // The clock counts from machine start, so its value may be less than the maximum age.
   if (!state.listed && !state.begun) return state.retry_not_before;
   const bool other_half = state.split_reads && state.configuration_wanted;
   if (other_half) return state.retry_not_before;
@@ -295,7 +295,7 @@
 }
 
 ReadKind NextReadKind(const Settings& settings, const State& state, Time now) {
-  // Halves take turns: news of servers, one after the other, would keep the configuration waiting.
+  // Alternates between the two reads; continuous server changes would starve the configuration.
   const bool other_half = state.split_reads && state.configuration_wanted;
   if (other_half && state.configuration_at < state.current_at) return ReadKind::kConfiguration;
   const bool old = now >= state.current_at + LongestAge(settings, state);
@@ -305,10 +305,10 @@
   if (!servers && told && !state.announced_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
   if (state.split_reads) return ReadKind::kServers;
-  // Changes since a revision that was relayed leave out configurations before it.
+  // Changes since a relayed revision omit configurations from before that revision.
   const bool changes_show_all =
       state.listed && !state.changes_unavailable && state.ConfigurationIsCurrent();
-  // What changed while relays were followed was never measured: a listing is bounded.
+  // The change rate was not measured while relays were in use; the size of a listing is bounded.
   const bool measured = !state.relayed || state.watches;
   if (!changes_show_all || !measured || ListingIsSmaller(state, now)) return ReadKind::kListing;
   return ReadKind::kChanges;
--- a/src/relay/follow_state.h
+++ b/src/relay/follow_state.h
@@ -10,79 +10,79 @@
 
 namespace moorfold {
 
-/// Decides when a daemon reads the store itself, what it asks for, and which relayed changes it may
-/// believe.
+/// Decides when a daemon reads the store itself, what the read requests, and which relayed changes
+/// are safe to apply.
 ///
-/// One daemon, the leader, watches the store closely; the others follow it: each asks it with its
-/// demand what has changed, and reads the store itself only when the answers stop, leave a gap or
-/// tell of a configuration. Nothing is weaker than without the relay: a daemon reads the store at
-/// the latest `max_age` after the last moment at which it was known to know all, whoever told
-/// it so.
+/// The leader watches the store; all other daemons follow it. A follower requests changes with its
+/// demand report, and reads the store itself only if answers stop, have a gap, or announce a new
+/// configuration. The freshness bound is the same as without a relay: a daemon reads the store at
+/// most `max_age` after the last time at which its data was known to be complete, from any source.
 ///
-/// That moment is counted without trust in clocks or networks. A follower counts an answer from the
-/// time at which it sent the question, less the age that the watcher stated; the watcher counts its
-/// own knowledge from the time at which it sent its read. Delays, frozen processes and late
-/// datagrams only make knowledge look older.
+/// That time relies neither on synchronized clocks nor on network delay. A follower dates an answer
+/// by the send time of its request minus the age stated by the watcher; the watcher dates its own
+/// data by the send time of its read. Delays, suspended processes and late datagrams can only make
+/// data look older than it is.
 ///
-/// A store that comes back from an older copy gives its revisions out again. Every revision here
-/// carries its era, and is compared with it: what is known of an earlier era says nothing of a
-/// later one. Whoever hears of a later era than its own asks the store; an answer of an earlier one
-/// changes nothing.
+/// A store that is restored from an older copy issues the same revision numbers again. Every
+/// revision therefore carries an era, which takes part in comparisons: data of an earlier era says
+/// nothing about a later one. A daemon that observes a later era than its own reads the store; an
+/// answer of an earlier era has no effect.
 ///
-/// Servers and the configuration are known as of different moments, since only servers are relayed:
-/// a configuration that is still to be read holds back nothing that is known of servers.
+/// Servers and the configuration have separate timestamps, since only servers are relayed: a
+/// configuration read that is still pending does not delay server data.
 ///
-/// What a read asks for is bounded whatever the time away. Changes since a revision grow with that
-/// time, as each version of the configuration stands whole among them; a listing does not. So a
-/// daemon lists as soon as a listing is expected to be the smaller answer, after any read of
-/// changes that was not answered, and, after a listing that was not, the servers alone before the
-/// configuration.
+/// The size of a read is bounded, however long a daemon was disconnected. Changes since a revision
+/// grow with that time, since they include every version of the configuration in full; a listing
+/// does not grow. A daemon therefore lists as soon as a listing is expected to be the smaller
+/// answer, and after any read of changes that was not answered. After a listing that was not
+/// answered, it reads the servers and then the configuration separately.
 ///
-/// In a fleet with relays (see relay/relay_plan.h) all but those ask a relay, and take from it what
-/// they lack, a first knowledge of all servers too: what each would read of the store grows with
-/// the servers, and what all would read with the daemons times the servers. The store is read for
-/// servers only when no relay has answered for long, and for the configuration as ever: nothing
-/// that is known of servers, or not yet, holds it up.
+/// In a fleet with relays (see relay/relay_plan.h) all other daemons take server data from a relay,
+/// including the initial listing: a listing grows with the number of servers, and all listings
+/// together with daemons times servers. Such a daemon reads servers from the store only if no relay
+/// has answered for `relay_timeout`. It still reads the configuration from the store; missing
+/// server data does not delay it.
 ///
-/// Pure: state, event and time in, state out. test/relay explores it.
+/// Pure function of state, event and time; test/relay has a randomized model test.
 namespace follow {
 
 using Time = BootClock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
 struct Settings {
-  /// A daemon that knows no better reads the store so long after it last knew all.
+  /// Maximum age of a daemon's data before it reads the store.
   Milliseconds max_age{1'100};
-  /// The same for a watcher, on whose reads the others' knowledge depends.
+  /// Maximum age for a watcher, whose reads determine the freshness of its followers.
   Milliseconds max_watcher_age{300};
-  /// Least time between two reads for which there was a reason.
+  /// Minimum time between two urgent reads.
   Milliseconds min_urgent_interval{500};
-  /// Between two reads of which the first failed.
+  /// Maximum delay before a failed read is retried.
   Milliseconds max_retry_delay{500};
-  /// A watcher is asked twice a second: without two answers it is not heard any more.
+  /// A watcher gets two requests a second: after two unanswered ones it counts as unreachable.
   Milliseconds watcher_timeout{1'200};
-  /// A daemon that follows relays reads the store for servers itself when none has answered for so
+  /// A daemon that uses relays reads servers from the store if no relay has answered for this
   /// long.
   Milliseconds relay_timeout{3'500};
-  /// One that knows no servers yet, and may be one of a large fleet that starts at once, lists them
-  /// itself when nobody has told it where to ask by then.
+  /// A daemon without server data, which may be part of a large fleet that starts at once, lists
+  /// the servers itself if it has not been told by then which relays to use.
   Milliseconds listing_delay{8'000};
-  /// One that follows relays asks these for a newer configuration before it reads it itself.
+  /// How long a daemon that uses relays tries to get a newer configuration from them before it
+  /// reads the store.
   Milliseconds configuration_relay_timeout{1'000};
 };
 
-/// What one read of the store asks for.
+/// What one read of the store requests.
 enum class ReadKind : std::uint8_t {
-  kListing,        ///< All entries as they are now.
-  kChanges,        ///< All changes since the revision known.
-  kServers,        ///< The servers' entries as they are now.
+  kListing,        ///< The current state of all entries.
+  kChanges,        ///< All changes since the known revision.
+  kServers,        ///< The current state of all server entries.
   kConfiguration,  ///< The newest configuration.
-  /// The configuration whose version a watcher told: the store may answer from an older state, at
-  /// less cost, since the version shows whether it did.
+  /// The configuration version that a watcher announced. The store may answer with a cheaper stale
+  /// read, since the version shows whether the answer is outdated.
   kAnnouncedConfiguration
 };
 
-/// @return a word for metrics and logs.
+/// @return the label value used in metrics and logs.
 inline const char* ToString(ReadKind kind) {
   switch (kind) {
     case ReadKind::kListing:
@@ -99,106 +99,108 @@
   return "unknown";
 }
 
-/// A configuration that a watcher knows to be the newest of a moment.
+/// A configuration that a watcher announced as the newest at some time.
 struct AnnouncedConfiguration {
-  StoreRevision revision;  ///< No newer one existed up to this revision of the store ..
-  Time current_at{};       ///< .. and at this time.
+  StoreRevision revision;  ///< No newer one existed up to this store revision.
+  Time current_at{};       ///< No newer one existed at this time.
 };
 
 struct State {
-  bool listed = false;                   ///< All servers were read at once before.
-  StoreRevision revision;                ///< All changes of servers up to this one are known.
-  StoreRevision configuration_revision;  ///< The same of the configuration.
-  Time current_at{};                     ///< At that time the store knew no more of servers.
-  Time configuration_at{};               ///< The same of the configuration.
+  bool listed = false;                   ///< All servers have been listed at least once.
+  StoreRevision revision;                ///< All server changes up to this one are known.
+  StoreRevision configuration_revision;  ///< The configuration is known up to this revision.
+  Time current_at{};                     ///< At this time the server data was complete.
+  Time configuration_at{};               ///< At this time the configuration was current.
   std::optional<Time> reading_since;
-  ReadKind reading = ReadKind::kListing;  ///< The read under way; of no meaning without one.
-  bool reading_all = false;               ///< It lists all servers, page after page.
-  bool urgent = false;                ///< There is a reason to read before `current_at` is too old.
-  bool configuration_wanted = false;  ///< There is a configuration that is not known.
-  Time configuration_wanted_since{};  ///< Since when that was told.
-  std::optional<AnnouncedConfiguration> told;  ///< Which is wanted, if a watcher told of it.
-  AnnouncedConfiguration reading_announced;    ///< Of the read under way.
-  bool announced_missed = false;               ///< The store answered with an older one than that.
+  ReadKind reading = ReadKind::kListing;  ///< Kind of the read in progress; otherwise unused.
+  bool reading_all = false;               ///< The read lists all servers, page by page.
+  bool urgent = false;  ///< A read is needed before `current_at` exceeds the maximum age.
+  bool configuration_wanted = false;           ///< A newer configuration exists or may exist.
+  Time configuration_wanted_since{};           ///< When it was announced.
+  std::optional<AnnouncedConfiguration> told;  ///< The announced configuration, if any.
+  AnnouncedConfiguration
+      reading_announced;          ///< The announced configuration that the current read requests.
+  bool announced_missed = false;  ///< The read of the announced one failed or was stale.
   Time watcher_heard_at{};
-  Time watcher_current_at{};         ///< The last answer's: at that time the watcher knew all.
+  Time watcher_current_at{};         ///< Per the last answer, when the watcher's data was complete.
   bool changes_unavailable = false;  ///< The changes since `revision` could not be read.
-  bool split_reads = false;       ///< A listing was not answered: servers and configuration apart.
-  Time retry_not_before{};        ///< No read earlier, after a failed one.
-  Time urgent_read_not_before{};  ///< No read earlier just because it is urgent.
-  bool watches = false;           ///< Others follow this daemon.
-  /// The configuration is known, of the servers only that they are more than one page: they are
-  /// listed later, or taken from a relay.
+  bool split_reads = false;  ///< A listing timed out: read servers and configuration separately.
+  Time retry_not_before{};   ///< Earliest next read after a failed one.
+  Time urgent_read_not_before{};  ///< Earliest next urgent read.
+  bool watches = false;           ///< This daemon is a watcher: others follow it.
+  /// The configuration is known, but the servers exceed one page: they are listed later or taken
+  /// from a relay.
   bool begun = false;
-  bool relayed = false;  ///< Relays are named for this daemon, which is none of them.
-  /// The revision came with a part of what had changed: what was replaced later is still to come.
-  /// Answers to questions from before it do not tell, and say nothing of what is missing.
+  bool relayed = false;  ///< The plan names relays for this daemon, which is not a relay.
+  /// `revision` comes from a partial answer: entries that changed again later are still missing.
+  /// Answers to requests sent from an earlier revision cannot show that nothing is missing.
   bool in_parts = false;
-  Time servers_not_before{};  ///< No listing of servers earlier, while there may be relays to ask.
+  Time servers_not_before{};  ///< Earliest listing of servers, while relays may still be named.
   Time relays_known_since{};
-  double listing_bytes = 0;       ///< Of the last listing.
-  double change_bytes_per_s = 0;  ///< Of changes, as measured or estimated last.
+  double listing_bytes = 0;       ///< Size of the last listing.
+  double change_bytes_per_s = 0;  ///< Last measured or estimated rate of changes.
 
-  /// @return whether the configuration is known as of a revision no older than the servers'.
+  /// @return whether the configuration's revision is at least that of the servers.
   bool ConfigurationIsCurrent() const { return configuration_revision >= revision; }
 };
 
 struct ReadBegun {
   ReadKind kind = ReadKind::kChanges;
 };
-/// What the read asked for is known up to `revision`.
+/// A read succeeded: the requested data is known up to `revision`.
 struct ReadEnded {
   StoreRevision revision;
-  double bytes = 0;  ///< Of the answer, about.
-  /// Of the changes since the revision known before, as far as that can be told.
+  double bytes = 0;  ///< Approximate size of the answer.
+  /// Size of the changes since the previously known revision, if it can be determined.
   std::optional<double> change_bytes;
-  bool outdated = false;  ///< Not the configuration that was told, but an older one.
+  bool outdated = false;  ///< The configuration is older than the announced one.
 };
 struct ReadFailed {
-  Milliseconds pause{0};  ///< Before the next, see MaxRetryDelay.
-  /// No whole answer came in its time: the next read asks for less.
+  Milliseconds pause{0};  ///< Delay before the next read, see MaxRetryDelay.
+  /// No complete answer arrived in time: the next read requests less.
   bool unanswered = false;
-  bool history_gone = false;  ///< The changes are no longer to be had.
+  bool history_gone = false;  ///< The store no longer has the changes.
 };
-/// A watcher's answer, as far as it decides. It holds all changes after `from_revision`, up to
-/// `to_revision`. An answer that held only some could not be told from one that holds all: a log of
-/// newest changes leaves out what a later change, beyond its end, replaced.
+/// The fields of a watcher's answer that affect decisions. The answer holds all changes after
+/// `from_revision` up to `to_revision`. Unless marked `partial`, it must be complete: the log keeps
+/// only the newest change of each server, so that a truncated answer omits changes which a later
+/// change beyond its end superseded, and could not be distinguished from a complete one.
 struct Relayed {
-  bool gap = false;      ///< The watcher cannot say what changed.
-  bool retired = false;  ///< The sender is no watcher any more.
+  bool gap = false;      ///< The watcher cannot list the changes.
+  bool retired = false;  ///< The sender is no longer a watcher.
   StoreRevision from_revision;
   StoreRevision to_revision;
-  bool newer_configuration = false;  ///< There is one that this daemon lacks; it is not relayed.
-  Time current_at{};                 ///< Nothing newer existed then.
-  /// The changes go only up to `to_revision`, and the watcher knows of more.
+  bool newer_configuration = false;  ///< A configuration exists that this daemon lacks.
+  Time current_at{};                 ///< At this time nothing newer existed.
+  /// The changes end at `to_revision`, and the watcher has more.
   bool partial = false;
 };
 struct RoleChanged {
   bool watches = false;
 };
-/// The first page of a first listing is taken over, and holds all but the servers after it.
+/// The first page of the initial listing was applied: everything except the servers after it.
 struct FirstPageEnded {
   StoreRevision revision;
 };
-/// What is known of relays: whether there are some that this daemon is to ask, or none at all, so
-/// that it lists by itself.
+/// The relay plan was received or changed: it names relays for this daemon, or none, in which case
+/// the daemon lists servers itself.
 struct RelaysChanged {
   bool named = false;
 };
-/// The configuration of which a watcher told was taken from a relay.
+/// The announced configuration was received from a relay.
 struct ConfigurationTaken {};
-/// A page of a relay's servers was taken over; it tells of the configuration as Relayed does.
+/// A page of servers from a relay was applied; it reports a newer configuration as Relayed does.
 struct ServersPageTaken {
   StoreRevision revision;
   bool newer_configuration = false;
   Time current_at{};
 };
-/// All servers were taken from a relay.
+/// All servers were received from a relay.
 struct ServersTaken {
-  StoreRevision revision;  ///< All changes of servers up to this one are known.
-  Time current_at{};       ///< At that time the relay knew no more.
+  StoreRevision revision;  ///< All server changes up to this one are known.
+  Time current_at{};       ///< At this time the relay's data was complete.
 };
-/// Something other than a read has told of an era of the store.
+/// A source other than a read reported an era of the store.
 struct EraObserved {
   std::int64_t era = 0;
 };
@@ -208,23 +210,23 @@
 
 struct Decision {
   State state;
-  /// Of Relayed: the changes after the state's former revision are to be taken over.
+  /// After Relayed: the caller must apply the changes after the state's previous revision.
   bool apply = false;
 };
 
 Decision Reduce(const Settings& settings, State state, const Event& event, Time now);
 
-/// @return when the store is to be read next; Time::max() while a read is under way.
+/// @return when to read the store next; Time::max() while a read is in progress.
 Time NextRead(const Settings& settings, const State& state);
-/// @return the most by which a read may follow one that failed. Where the watcher is heard and
-/// cannot read the store either, the store is out of reach for all: the watcher will tell when it
-/// is back, and its many followers do not all knock meanwhile.
+/// @return the maximum delay before a failed read is retried. If the watcher answers but cannot
+/// read the store either, the store is unreachable for all daemons: the delay is then longer, so
+/// that the followers do not all retry, since the watcher's answers show when the store is back.
 Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now);
-/// @return whether all servers are to be taken from a relay now.
+/// @return whether to fetch all servers from a relay now.
 bool WantsServers(const State& state);
-/// @return whether the configuration that was told is to be taken from a relay now.
+/// @return whether to fetch the announced configuration from a relay now.
 bool WantsConfiguration(const State& state);
-/// @return what a read that begins now asks for.
+/// @return the kind of a read that starts now.
 ReadKind NextReadKind(const Settings& settings, const State& state, Time now);
 
 }  // namespace follow
--- a/src/relay/relay_sources.cc
+++ b/src/relay/relay_sources.cc
@@ -10,21 +10,22 @@
 
 using std::chrono::milliseconds;
 
-/// Relays are asked twice a second: without two answers another is asked.
+/// Relays get two requests a second: after two unanswered ones, the next relay is asked.
 constexpr milliseconds kSilenceTimeout{900};
-/// The same after another was silent: what is known ages meanwhile.
+/// Timeout after the previous relay timed out: the daemon's data has been aging meanwhile.
 constexpr milliseconds kShortSilenceTimeout{400};
-/// The same for a daemon that knows nothing yet: in a fleet that starts at once its relays read the
-/// whole store first.
+/// Timeout for a daemon without data: when a whole fleet starts at once, its relays must first read
+/// the whole store.
 constexpr milliseconds kInitialSilenceTimeout{3'000};
-/// So long a relay may say that it does not know enough: a whole read of the store takes less.
+/// How long a relay may decline for lack of data: a full read of the store takes less time.
 constexpr milliseconds kMaxDeclineTime{6'000};
-/// Of its own zone: where so many are silent, the others are hardly asked in time.
+/// Relays to ask per zone: after this many timeouts, hardly any time is left to ask more of them.
 constexpr std::size_t kSourcesPerZone = 2;
-/// What a relay knows may have come over another, and is up to two questions and a read old. One
-/// that is further behind is cut off from its source, or too slow.
+/// A relay may get its data through another relay, so that it can be as old as two request
+/// intervals and one read. A relay with older data is cut off from its source, or too slow.
 constexpr milliseconds kMaxRelayAge{2'000};
-/// Whoever asks a relay of another zone looks for its own again so often: what crosses zones costs.
+/// How often a daemon that uses a relay of another zone retries its own zone: cross-zone traffic
+/// is costly.
 constexpr milliseconds kOwnZoneRetryInterval{5'000};
 
 }  // namespace
@@ -35,7 +36,7 @@
     const std::string both = address_ + '>' + address;
     return XXH64(both.data(), both.size(), 0);
   };
-  // The first has the store to read.
+  // The first relay goes last, since it already reads the store.
   std::vector<std::string> sources(zone.relays.begin() + 1, zone.relays.end());
   std::sort(sources.begin(), sources.end(), [&](const std::string& left, const std::string& right) {
     return rank(left) < rank(right);
@@ -50,7 +51,7 @@
   for (const ZoneRelays& zone : plan.zones)
     if (zone.zone != zone_) zones.push_back(SourcesOf(zone));
   if (zones.empty()) return {};
-  // Daemons of a lost zone spread over all others.
+  // Spreads the daemons of a zone whose relays failed over all other zones.
   const auto start = std::hash<std::string>{}(address_) % zones.size();
   std::rotate(zones.begin(), zones.begin() + static_cast<std::ptrdiff_t>(start), zones.end());
   std::vector<std::string> sources;
@@ -94,8 +95,8 @@
 void RelaySources::UpdateCurrent(Time now) {
   if (order_.empty()) return;
   const milliseconds usual = previous_relay_silent_ ? kShortSilenceTimeout : kSilenceTimeout;
-  const milliseconds patience = learning_ ? kInitialSilenceTimeout : usual;
-  const bool silent = silent_since_ != Time{} && now - silent_since_ >= patience;
+  const milliseconds timeout = learning_ ? kInitialSilenceTimeout : usual;
+  const bool silent = silent_since_ != Time{} && now - silent_since_ >= timeout;
   if (silent) {
     Next(now);
     previous_relay_silent_ = true;
@@ -140,7 +141,8 @@
 void RelaySources::Declined(const std::string& from, Time now) {
   if (order_.empty() || order_[current_] != from) return;
   if (declined_since_ == Time{}) declined_since_ = now;
-  // It is there; what is known here ages all the same.
+  // The relay is alive, but this daemon's data keeps aging, so the timeout resets only for a daemon
+  // without data.
   if (learning_ && now - declined_since_ < kMaxDeclineTime) silent_since_ = {};
 }
 
--- a/src/relay/relay_sources.h
+++ b/src/relay/relay_sources.h
@@ -9,59 +9,64 @@
 
 namespace moorfold {
 
-/// Which relay a daemon asks: one of its own zone, and its neighbours others; the next when it says
-/// nothing, or nothing new; those of other zones when none of its own does. A relay itself asks the
-/// relays before it in its zone, reads the store where they all say nothing, and asks those of
-/// other zones where the store turns it away. Pure; one thread.
+/// Selects the relay that a daemon asks. Daemons spread over the relays of their own zone; a daemon
+/// switches to the next relay when the current one does not answer or its data is old, and to
+/// relays of other zones when all of its own zone fail. A relay asks the relays before it in its
+/// zone, reads the store if none of them answers, and asks relays of other zones if the store
+/// refuses its reads. No I/O; not thread-safe.
 class RelaySources {
  public:
   using Time = BootClock::time_point;
 
-  /// @param address "IP:PORT" of this daemon: others prefer other relays.
-  /// @param zone of this daemon.
+  /// @param address "IP:PORT" of this daemon; determines which relays it prefers.
+  /// @param zone zone of this daemon.
   RelaySources(std::string address, ZoneId zone) : address_(std::move(address)), zone_(zone) {}
 
   void SetPlan(const RelayPlan& plan, Time now);
-  /// @return "IP:PORT" of the relay to ask now; empty where none is named, and where this daemon is
-  /// to read the store itself.
+  /// @return "IP:PORT" of the relay to ask now; empty if the plan names none, or if this daemon
+  /// must read the store itself.
   std::string Current(Time now);
-  /// @return whether this daemon is a relay that watches the store now.
+  /// @return whether this daemon is a relay that currently watches the store.
   bool Watches(Time now);
-  /// Whether this daemon knows no servers yet: then relays are given time to learn of them first.
-  void SetLearning(bool patient) { learning_ = patient; }
-  /// It has been asked.
+  /// Sets whether this daemon has no server data yet. If so, it waits longer for relays, which may
+  /// have to read the store first.
+  void SetLearning(bool learning) { learning_ = learning; }
+  /// Records that a request was sent to the current relay.
   void Asked(Time now);
-  /// A relay has answered what it knows.
-  /// @param age of what it knows: one that the store turns away is left for another.
+  /// Records an answer of a relay.
+  /// @param age age of its data. If too high, as when the store refuses the relay's reads, this
+  /// daemon switches to another relay.
   void Heard(const std::string& from, std::chrono::microseconds age, Time now);
-  /// Whether this daemon's reads of the store fail: a relay that reads it in vain asks others. One
-  /// that is only slow goes on, or nobody might be left who reads it.
+  /// Records whether this daemon's reads of the store fail. A relay whose reads keep failing asks
+  /// other relays. One whose reads are only slow continues; otherwise no relay might be left that
+  /// reads the store.
   void RecordOwnReads(bool fail, Time now);
-  /// A relay has said that it does not know enough itself, as after its start.
+  /// Records that a relay declined because its own data is incomplete, as after its start.
   void Declined(const std::string& from, Time now);
   bool Contains(const std::string& address) const;
 
  private:
   void Next(Time now);
   void UpdateCurrent(Time now);
-  /// @return whom to ask of a zone's relays, the ones to ask last at the end.
+  /// @return the relays of a zone to ask, in order of preference.
   std::vector<std::string> SourcesOf(const ZoneRelays& zone) const;
-  /// @return relays of the other zones, one of each in turn.
+  /// @return relays of the other zones, interleaved by zone.
   std::vector<std::string> OtherZoneSources(const RelayPlan& plan) const;
   bool AtOwnPosition() const { return !order_.empty() && order_[current_] == address_; }
 
   std::string address_;
   ZoneId zone_;
   std::vector<std::string> order_;
-  bool relay_ = false;        ///< Then this daemon itself stands in `order_`.
-  std::size_t own_zone_ = 0;  ///< So many of `order_`, the first ones.
+  bool relay_ = false;        ///< If true, `order_` contains this daemon itself.
+  std::size_t own_zone_ = 0;  ///< Number of leading entries of `order_` in the own zone.
   std::size_t current_ = 0;
   bool learning_ = false;
-  Time failing_since_{};                ///< Of own reads; zero: they do not fail.
-  bool previous_relay_silent_ = false;  ///< The relay before was silent.
-  Time declined_since_{};  ///< Zero: the relay has not declined since it was chosen, or answered.
-  Time silent_since_{};    ///< Of the first question without an answer; zero: there is none.
-  Time retry_own_zone_at_{};  ///< When a relay of the own zone is tried again.
+  Time failing_since_{};                ///< Start of own read failures; zero: none.
+  bool previous_relay_silent_ = false;  ///< The previous relay timed out.
+  Time declined_since_{};  ///< First decline since the relay was selected or last answered; zero:
+                           ///< none.
+  Time silent_since_{};    ///< Time of the first unanswered request; zero: none.
+  Time retry_own_zone_at_{};  ///< When to try a relay of the own zone again.
 };
 
 }  // namespace moorfold
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -22,25 +22,25 @@
 using std::chrono::seconds;
 
 constexpr Time kStart{seconds(1'000)};
-constexpr int kServersOfDaemon = 10;
+constexpr int kServersPerDaemon = 10;
 constexpr int kZones = 6;
-constexpr int kStrongOfZone = 10;
+constexpr int kStrongDaemonsPerZone = 10;
 constexpr double kStoreBytesPerS = 125e6;
 constexpr double kStrongBytesPerS = 25e6;
 constexpr double kWeakBytesPerS = 2.5e6;
 constexpr double kEntryBytes = 450;
 constexpr double kPageEntries = 500;
 constexpr double kConfigurationBytes = 60e3;
-constexpr double kBeatsPerServerPerS = 1 / 1.2;
+constexpr double kHeartbeatsPerServerPerS = 1 / 1.2;
 constexpr double kEntryCpuS = 10e-6;  ///< Of a whole core, to read one entry of an answer.
-constexpr double kStrongShare = 0.5;
-constexpr double kWeakShare = 0.12;
-constexpr int kServersOfDatagram = 34;
+constexpr double kStrongCoreShare = 0.5;
+constexpr double kWeakCoreShare = 0.12;
+constexpr int kServersPerDatagram = 34;
 constexpr double kDatagramBytes = 7e3;
 constexpr double kDatagramCpuS = 80e-6;
-constexpr milliseconds kWay{1};
-constexpr milliseconds kAskEvery{500};
-constexpr milliseconds kBound{5'000};
+constexpr milliseconds kNetworkDelay{1};
+constexpr milliseconds kRequestInterval{500};
+constexpr milliseconds kMaxDataAge{5'000};
 
 follow::Settings FleetSettings() {
   follow::Settings settings{milliseconds(2'750), milliseconds(500), milliseconds(1'750)};
@@ -74,14 +74,14 @@
 struct Fleet {
   /// @param registered when the servers write their entries.
   Fleet(int size, bool with_relays, Time registered = {})
-      : relays_used(with_relays), registered_at(registered), servers(size * kServersOfDaemon) {
+      : relays_used(with_relays), registered_at(registered), servers(size * kServersPerDaemon) {
     for (int number = 0; number < size; ++number) {
       auto daemon = std::make_unique<Daemon>();
       daemon->name = "edge-" + std::to_string(number);
       daemon->address =
           "10.0." + std::to_string(number / 256) + "." + std::to_string(number % 256) + ":7000";
       daemon->zone = number % kZones;
-      daemon->strong = number < kZones * kStrongOfZone;
+      daemon->strong = number < kZones * kStrongDaemonsPerZone;
       daemon->sources = std::make_unique<RelaySources>(
           daemon->address, ZoneIdOf("zone-" + std::to_string(daemon->zone)));
       daemons.push_back(std::move(daemon));
@@ -112,7 +112,7 @@
   // --- The store.
   std::int64_t Revision() const {
     const double s = std::chrono::duration<double>(now - kStart).count();
-    return 1 + static_cast<std::int64_t>(s * servers * kBeatsPerServerPerS);
+    return 1 + static_cast<std::int64_t>(s * servers * kHeartbeatsPerServerPerS);
   }
   double BytesOf(const Daemon& daemon, ReadKind kind) const {
     const bool first = !daemon.state.listed && !daemon.state.begun;
@@ -175,7 +175,7 @@
     store_bytes += bytes;
     store_free = std::max(store_free, now) + Seconds(bytes / kStoreBytesPerS);
     const double link = daemon.strong ? kStrongBytesPerS : kWeakBytesPerS;
-    const double share = daemon.strong ? kStrongShare : kWeakShare;
+    const double share = daemon.strong ? kStrongCoreShare : kWeakCoreShare;
     const Time arrives = store_free + Seconds(bytes / link);
     const milliseconds work = Seconds(bytes / kEntryBytes * kEntryCpuS / share);
     daemon.busy_until = std::max(daemon.busy_until, now) + work;
@@ -207,7 +207,7 @@
     for (const auto& daemon : daemons)
       if (daemon->alive)
         planner.Note({daemon->address, ZoneIdOf("zone-" + std::to_string(daemon->zone)),
-                      daemon->strong ? kStrongShare : kWeakShare, false, true},
+                      daemon->strong ? kStrongCoreShare : kWeakCoreShare, false, true},
                      now);
     const RelayPlan next = planner.Plan(plan, kStart, now);
     if (next.number != plan.number) {
@@ -237,10 +237,11 @@
   }
   /// One question and its answer, which takes the relay's time.
   void Send(Daemon& from, Daemon& to, double bytes, std::function<void()> answered) {
-    to.busy_until = std::max(to.busy_until, now + kWay) + Seconds(kDatagramCpuS / kStrongShare);
+    to.busy_until =
+        std::max(to.busy_until, now + kNetworkDelay) + Seconds(kDatagramCpuS / kStrongCoreShare);
     to.datagram_bytes += bytes;
     from.datagram_bytes += bytes;
-    At(to.busy_until + kWay, [&from, &to, answered = std::move(answered)] {
+    At(to.busy_until + kNetworkDelay, [&from, &to, answered = std::move(answered)] {
       if (to.alive && from.alive) answered();
     });
   }
@@ -269,7 +270,7 @@
         std::chrono::duration_cast<std::chrono::microseconds>(now - relay.state.current_at).count();
     if (asked.after.empty()) daemon.page = 0;
     ++daemon.page;
-    page.more = daemon.page * kServersOfDatagram < servers;
+    page.more = daemon.page * kServersPerDatagram < servers;
     page.last = asked.after + "x";
     switch (daemon.snapshot.Take(page, relay.address)) {
       case SnapshotReader::Taken::kIgnored:
@@ -287,11 +288,11 @@
         break;
     }
     daemon.sources->Heard(relay.address, std::chrono::microseconds(0), now);
-    daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakShare);
+    daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakCoreShare);
     At(daemon.busy_until, [this, &daemon] { Pull(daemon); });
   }
   void Ask(Daemon& daemon) {
-    At(now + kAskEvery, [this, &daemon] { Ask(daemon); });
+    At(now + kRequestInterval, [this, &daemon] { Ask(daemon); });
     if (daemon.alive && !plan.needed() && daemon.state.listed && Registered()) {
       // The leader, which names no relays yet, tells of a configuration, and then of more changes
       // than it can name.
@@ -336,7 +337,7 @@
         latest = std::max(latest, (*daemon).*moment == Time{} ? Time::max() : (*daemon).*moment);
     return std::chrono::duration<double>(latest - kStart).count();
   }
-  milliseconds OldestKnowledge() const {
+  milliseconds MaxDataAge() const {
     milliseconds oldest{0};
     for (const auto& daemon : daemons)
       if (daemon->alive)
@@ -345,11 +346,11 @@
     return oldest;
   }
   /// The oldest at any time until then, looked at ten times a second.
-  milliseconds OldestUntil(Time end) {
+  milliseconds MaxDataAgeUntil(Time end) {
     milliseconds oldest{0};
     while (now < end) {
       RunUntil(now + milliseconds(100));
-      oldest = std::max(oldest, OldestKnowledge());
+      oldest = std::max(oldest, MaxDataAge());
     }
     return oldest;
   }
@@ -389,7 +390,7 @@
   CHECK(fleet.AllListedAfterS() < 24);
   // At most 60% of what the store's link carries in that time; at twice the size, all of it.
   CHECK(fleet.store_bytes < (size > 1'000 ? 1 : 0.6) * kStoreBytesPerS * 24);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
 /// Of all daemons but relays.
@@ -406,7 +407,7 @@
   CHECK(fleet.AllConfiguredAfterS() < 8);
   CHECK(fleet.store_bytes < 0.6 * kStoreBytesPerS * 24);
   CHECK(MostReadFromStore(fleet) < 0.5 * fleet.servers * kEntryBytes);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
 TEST_CASE("Daemons that are told of a large fleet list no servers while its relays are chosen") {
@@ -416,7 +417,7 @@
   CHECK(MostReadFromStore(fleet) < 3 * (kConfigurationBytes + kPageEntries * kEntryBytes));
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.store_bytes < 0.6 * kStoreBytesPerS * 24);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
 TEST_CASE("Without relays a large fleet does not come up: what it reads grows with its square") {
@@ -467,7 +468,7 @@
     for (std::size_t at = 0; at < fleet.daemons.size(); ++at)
       fleet.daemons[at]->refused = at % 3 == 0;
   }
-  CHECK(fleet.OldestUntil(kStart + seconds(45)) < kBound);
+  CHECK(fleet.MaxDataAgeUntil(kStart + seconds(45)) < kMaxDataAge);
   CHECK((fleet.store_bytes - before) / 15 < 0.6 * kStoreBytesPerS);
 }
 
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -53,7 +53,7 @@
 }
 
 /// A configuration and a server.
-inline KeyValueTable StockedTable() {
+inline KeyValueTable InitialTable() {
   KeyValueTable table;
   PutInto(table, "op/config", R"({"version":3,"routes":[],"services":[]})");
   PutInto(table, "servers/i-1", ServerText("ready", ""));
@@ -63,7 +63,7 @@
 /// A watcher, and a follower that would not read the store by itself for an hour.
 struct RelayFixture {
   RelayFixture()
-      : table(StockedTable()),
+      : table(InitialTable()),
         watcher(context, table, std::chrono::milliseconds(20)),
         follower(context, table, std::chrono::hours(1)) {
     REQUIRE(RunUntil([&] { return watcher.Version() == 3 && follower.Version() == 3; }));
@@ -88,8 +88,8 @@
     return answer;
   }
   bool RunUntil(const std::function<bool()>& done,
-                std::chrono::milliseconds patience = std::chrono::milliseconds(20'000)) {
-    const auto give_up = BootClock::now() + patience;
+                std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000)) {
+    const auto give_up = BootClock::now() + timeout;
     while (!done() && BootClock::now() < give_up) {
       watcher.store.Deliver();
       follower.store.Deliver();
@@ -100,7 +100,7 @@
     return done();
   }
   /// Until the watcher has what was put before.
-  void Settle() {
+  void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     PutServer(marker, "ready", "");
     REQUIRE(RunUntil([&] { return watcher.Record(marker) != nullptr; }));
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -24,28 +24,28 @@
 using std::chrono::milliseconds;
 
 constexpr follow::Settings kSettings{milliseconds(1'650), milliseconds(300), milliseconds(375)};
-constexpr milliseconds kAskEvery{500};
-constexpr milliseconds kDay{40'000};
+constexpr milliseconds kRequestInterval{500};
+constexpr milliseconds kRunTime{40'000};
 constexpr milliseconds kSlowestRead{700};
-constexpr milliseconds kPause{100};  ///< After a read that failed.
+constexpr milliseconds kRetryDelay{100};  ///< After a read that failed.
 constexpr int kServers = 6;
 constexpr const char* kConfiguration = "configuration";
 
 /// One of them is left out to show that it is needed.
 struct Rules {
-  bool age_from_question = true;      ///< An answer's age counts from when it was asked for.
+  bool age_from_request_time = true;  ///< An answer's age counts from when it was asked for.
   bool watcher_states_age = true;     ///< The watcher's own knowledge may be old.
   bool configuration_is_read = true;  ///< What is not relayed is not passed over.
-  bool log_tells_its_reach = true;    ///< A watcher says when it does not know what came before.
-  bool older_reads_yield = true;      ///< A read's answer does not undo what was relayed meanwhile.
-  bool listings_leave_gaps = true;    ///< What came and went before a listing was never seen.
-  bool watcher_keeps_both = true;     ///< None relays that knows servers newer than the rest.
-  bool told_version_is_checked = true;  ///< A stale read is taken for what it is.
-  bool revisions_have_eras = true;      ///< Else those of two eras are compared as if of one.
-  bool parts_are_marked = true;         ///< A part of what has changed is not taken for all.
-  bool older_yield_to_parts = true;     ///< An older answer vouches for no part.
-  bool parts = false;                   ///< No rule: whether answers may hold parts.
-  bool store_comes_back = false;        ///< No rule: whether the day has a store that does.
+  bool log_reports_gaps = true;       ///< A watcher says when it does not know what came before.
+  bool older_reads_ignored = true;    ///< A read's answer does not undo what was relayed meanwhile.
+  bool listings_record_gaps = true;   ///< What came and went before a listing was never seen.
+  bool watcher_needs_configuration = true;  ///< None relays that knows servers newer than the rest.
+  bool announced_version_is_checked = true;  ///< A stale read is taken for what it is.
+  bool revisions_have_eras = true;           ///< Else those of two eras are compared as if of one.
+  bool partial_answers_are_marked = true;    ///< A part of what has changed is not taken for all.
+  bool older_answers_ignored_after_parts = true;  ///< An older answer vouches for no part.
+  bool parts = false;                             ///< No rule: whether answers may hold parts.
+  bool store_is_restored = false;  ///< No rule: whether the day has a store that does.
 };
 
 /// Revision of the newest change of each server that is there and of the configuration, as some
@@ -70,11 +70,11 @@
   bool cut_off = false;             ///< From the store.
 };
 
-struct Harm {
+struct Violations {
   bool overstates_knowledge = false;  ///< Something that is older than `current_at` is not known.
-  bool goes_back = false;
-  bool too_old = false;  ///< Knowledge older than the bound, though the store can be read.
-  bool Any() const { return overstates_knowledge || goes_back || too_old; }
+  bool reverts = false;
+  bool exceeds_max_age = false;  ///< Knowledge older than the bound, though the store can be read.
+  bool Any() const { return overstates_knowledge || reverts || exceeds_max_age; }
 };
 
 struct World {
@@ -99,7 +99,7 @@
     return rules.revisions_have_eras ? at : StoreRevision{0, at.number};
   }
   /// The store comes back as it was some changes ago; what was written since is written again.
-  void ComeBack() {
+  void RestoreStore() {
     const std::int64_t lost = std::min<std::int64_t>(revision.number - 1, Between(1, 60).count());
     const StoreRevision copy{revision.era, revision.number - lost};
     const Knowledge now_there = StoreAt(revision);
@@ -116,7 +116,7 @@
     for (const auto& [key, changed] : then)
       if (!now_there.contains(key)) Record(key, true);
     reachable_since = now;
-    At(now + Between(4'000, 15'000), [this] { ComeBack(); });
+    At(now + Between(4'000, 15'000), [this] { RestoreStore(); });
   }
   void MakeChange() {
     if (Chance(0.1)) {
@@ -151,7 +151,7 @@
     if (changed < before) {
       // A configuration is taken with a higher version only, whoever brings it.
       if (key == kConfiguration) return;
-      harm.goes_back = true;
+      harm.reverts = true;
     }
     if (key != kConfiguration && changed != before) daemon.log.Note(key, Seen(changed), gone);
     if (gone)
@@ -176,7 +176,7 @@
     if (daemon.cut_off || Chance(0.02)) {
       const bool unanswered = Chance(0.7);
       At(now + kSlowestRead, [this, &daemon, unanswered] {
-        Reduce(daemon, follow::ReadFailed{kPause, unanswered, !unanswered});
+        Reduce(daemon, follow::ReadFailed{kRetryDelay, unanswered, !unanswered});
         ReadWhenDue(daemon);
       });
       return;
@@ -191,7 +191,7 @@
       const bool given_out = after.era == Seen(at).era && after <= Seen(at);
       const bool history_gone = kind == ReadKind::kChanges && !given_out;
       if (history_gone) {
-        Reduce(daemon, follow::ReadFailed{kPause, false, true});
+        Reduce(daemon, follow::ReadFailed{kRetryDelay, false, true});
         ReadWhenDue(daemon);
         return;
       }
@@ -200,7 +200,7 @@
       else if (kind == ReadKind::kConfiguration)
         Learn(daemon, kConfiguration, StoreAt(at).at(kConfiguration), false);
       else if (kind == ReadKind::kAnnouncedConfiguration)
-        outdated = !ReadTold(daemon, at);
+        outdated = !ReadAnnounced(daemon, at);
       else
         TakeListing(daemon, at, kind);
       // Now the changes and now a listing are expected to be the smaller answer.
@@ -210,12 +210,12 @@
     });
   }
   /// From a state that may be older. @return whether it is the one that was told.
-  bool ReadTold(Daemon& daemon, StoreRevision at) {
+  bool ReadAnnounced(Daemon& daemon, StoreRevision at) {
     const StoreRevision older{at.era, std::max<std::int64_t>(1, at.number - 12)};
     const StoreRevision answered_at = Chance(0.5) ? at : older;
     Learn(daemon, kConfiguration, StoreAt(answered_at).at(kConfiguration), false);
     return daemon.known[kConfiguration] >= daemon.reading_announced ||
-           !rules.told_version_is_checked;
+           !rules.announced_version_is_checked;
   }
   double TakeChanges(Daemon& daemon, StoreRevision after, StoreRevision at) {
     const StoreRevision known = daemon.state.revision;
@@ -224,7 +224,7 @@
       if (changed.era != at.era || Seen(changed) <= after || changed > at) continue;
       ++changes;
       const bool older = change.key != kConfiguration && Seen(changed) <= known;
-      if (!older || !rules.older_reads_yield) Learn(daemon, change.key, changed, change.gone);
+      if (!older || !rules.older_reads_ignored) Learn(daemon, change.key, changed, change.gone);
     }
     daemon.log.Advance(Seen(at));
     return changes;
@@ -233,7 +233,7 @@
     const Knowledge listed = StoreAt(at);
     if (!daemon.state.listed)
       daemon.log.Restart(Seen(at));
-    else if (rules.listings_leave_gaps)
+    else if (rules.listings_record_gaps)
       daemon.log.RecordListing(daemon.state.revision, Seen(at));
     else
       daemon.log.Advance(Seen(at));
@@ -245,19 +245,19 @@
   }
 
   void Ask() {
-    At(now + kAskEvery, [this] { Ask(); });
+    At(now + kRequestInterval, [this] { Ask(); });
     if (!follower.state.listed || Chance(0.05)) return;  // Lost, or nothing to ask yet.
     const Time asked = now;
     const StoreRevision from = follower.state.revision;
     for (int copy = Chance(0.05) ? 2 : 1; copy > 0; --copy)
-      At(now + Delay(), [this, asked, from] { AnswerQuestion(asked, from); });
+      At(now + Delay(), [this, asked, from] { AnswerRequest(asked, from); });
   }
-  void AnswerQuestion(Time asked, StoreRevision from) {
+  void AnswerRequest(Time asked, StoreRevision from) {
     if (!watcher.state.listed) return;
-    if (rules.watcher_keeps_both && !watcher.state.ConfigurationIsCurrent()) return;
+    if (rules.watcher_needs_configuration && !watcher.state.ConfigurationIsCurrent()) return;
     if (watcher.state.in_parts) return;
     follow::Relayed answer;
-    const Time current_at = rules.watcher_keeps_both
+    const Time current_at = rules.watcher_needs_configuration
                                 ? std::min(watcher.state.current_at, watcher.state.configuration_at)
                                 : watcher.state.current_at;
     const milliseconds age = std::chrono::ceil<milliseconds>(now - current_at);
@@ -266,11 +266,11 @@
     answer.gap = !watcher.log.CoversSince(from);
     const StoreRevision configuration = watcher.known[kConfiguration];
     std::vector<ChangeLog::Change> changes;
-    if (!answer.gap || !rules.log_tells_its_reach) {
+    if (!answer.gap || !rules.log_reports_gaps) {
       answer.gap = false;
       changes = watcher.log.Since(from);
     }
-    if (rules.parts && Chance(0.4)) KeepPart(answer, changes);
+    if (rules.parts && Chance(0.4)) KeepOldestChanges(answer, changes);
     if (Chance(0.05)) return;  // Lost.
     for (int copy = Chance(0.05) ? 2 : 1; copy > 0; --copy)
       At(now + Delay(), [this, asked, age, answer, configuration, changes] {
@@ -278,7 +278,7 @@
       });
   }
   /// As if the datagram held no more than some of the oldest changes.
-  void KeepPart(follow::Relayed& answer, std::vector<ChangeLog::Change>& changes) {
+  void KeepOldestChanges(follow::Relayed& answer, std::vector<ChangeLog::Change>& changes) {
     if (answer.gap || changes.size() < 2) return;
     const std::size_t kept = 1 + random() % (changes.size() - 1);
     const StoreRevision next = changes[kept].revision;
@@ -290,11 +290,11 @@
       return;
     }
     answer.to_revision = std::min(answer.to_revision, changes.back().revision);
-    answer.partial = rules.parts_are_marked;
+    answer.partial = rules.partial_answers_are_marked;
   }
   void TakeAnswer(Time asked, milliseconds age, follow::Relayed answer, StoreRevision configuration,
                   const std::vector<ChangeLog::Change>& changes) {
-    answer.current_at = (rules.age_from_question ? asked : now) -
+    answer.current_at = (rules.age_from_request_time ? asked : now) -
                         (rules.watcher_states_age ? age : milliseconds(0));
     answer.newer_configuration =
         rules.configuration_is_read && configuration > follower.known[kConfiguration];
@@ -302,7 +302,7 @@
     const StoreRevision known = follower.state.revision;
     const follow::Decision decision = follow::Reduce(kSettings, follower.state, answer, now);
     follower.state = decision.state;
-    if (!rules.older_yield_to_parts) follower.state.in_parts = false;
+    if (!rules.older_answers_ignored_after_parts) follower.state.in_parts = false;
     if (decision.apply) {
       for (const ChangeLog::Change& change : changes)
         if (change.revision > known)
@@ -328,44 +328,44 @@
       const auto known = daemon.known.find(change.key);
       const bool has = known != daemon.known.end();
       const bool stale = has && known->second < changed;
-      const bool unheard_of = !has && !change.gone && !EndsAfter(change.key, changed);
+      const bool unheard_of = !has && !change.gone && !IsRemovedAfter(change.key, changed);
       if (stale || unheard_of) harm.overstates_knowledge = true;
     }
   }
   /// Whether the server goes after that revision: then who does not know it may know that.
-  bool EndsAfter(const std::string& key, StoreRevision changed) const {
+  bool IsRemovedAfter(const std::string& key, StoreRevision changed) const {
     return std::any_of(history.upper_bound(changed), history.end(), [&](const auto& later) {
       return later.second.gone && later.second.key == key;
     });
   }
   void CheckAge() {
     // A return is a disruption of the store: no bound is stated for how old knowledge may be then.
-    if (rules.store_comes_back) return;
+    if (rules.store_is_restored) return;
     const milliseconds bound = kSettings.max_age + 2 * kSlowestRead;
     if (follower.cut_off || now < reachable_since + bound) return;
     if (now - std::min(follower.state.current_at, follower.state.configuration_at) > bound)
-      harm.too_old = true;
+      harm.exceeds_max_age = true;
   }
 
   /// One of the daemons is cut off from the store, or reaches it again.
-  void Cut() {
+  void ToggleConnection() {
     Daemon& daemon = Chance(0.7) ? watcher : follower;
     daemon.cut_off = !daemon.cut_off;
     if (!follower.cut_off && &daemon == &follower) reachable_since = now;
-    At(now + Between(500, 6'000), [this] { Cut(); });
+    At(now + Between(500, 6'000), [this] { ToggleConnection(); });
   }
   /// Something makes the follower read: an answer with a gap.
-  void News() {
+  void SendGap() {
     follow::Relayed gap;
     gap.gap = true;
     gap.to_revision = follower.state.revision;
     Reduce(follower, gap);
     ReadWhenDue(follower);
-    At(now + Between(200, 3'000), [this] { News(); });
+    At(now + Between(200, 3'000), [this] { SendGap(); });
   }
   /// The watcher is killed and another takes its place, which has read the store only now or
   /// followed it before.
-  void Replace() {
+  void ReplaceWatcher() {
     const bool follower_leads = Chance(0.5) && !follower.state.reading_since;
     if (!watcher.state.reading_since) {
       const bool cut_off = watcher.cut_off;
@@ -374,10 +374,10 @@
       Reduce(watcher, follow::RoleChanged{true});
       ReadWhenDue(watcher);
     }
-    At(now + Between(3'000, 12'000), [this] { Replace(); });
+    At(now + Between(3'000, 12'000), [this] { ReplaceWatcher(); });
   }
 
-  Harm Play() {
+  Violations Run() {
     Record(kConfiguration, false);
     for (int server = 0; server < kServers; ++server)
       Record("server-" + std::to_string(server), false);
@@ -385,13 +385,13 @@
     ReadWhenDue(watcher);
     ReadWhenDue(follower);
     reachable_since = now;
-    const Time end = now + kDay;
+    const Time end = now + kRunTime;
     At(now + Between(1, 500), [this] { MakeChange(); });
     At(now + Between(1, 500), [this] { Ask(); });
-    At(now + Between(200, 3'000), [this] { News(); });
-    At(now + Between(1'000, 9'000), [this] { Cut(); });
-    At(now + Between(1'000, 9'000), [this] { Replace(); });
-    if (rules.store_comes_back) At(now + Between(4'000, 15'000), [this] { ComeBack(); });
+    At(now + Between(200, 3'000), [this] { SendGap(); });
+    At(now + Between(1'000, 9'000), [this] { ToggleConnection(); });
+    At(now + Between(1'000, 9'000), [this] { ReplaceWatcher(); });
+    if (rules.store_is_restored) At(now + Between(4'000, 15'000), [this] { RestoreStore(); });
     while (now < end && !harm.Any()) {
       const Action next = actions.top();
       actions.pop();
@@ -424,63 +424,64 @@
   Daemon watcher;
   Daemon follower;
   Time reachable_since{};
-  Harm harm;
+  Violations harm;
 };
 
-Harm PlayMany(const Rules& rules, std::uint32_t days) {
-  Harm all;
-  for (std::uint32_t seed = 1; seed <= days && !all.overstates_knowledge && !all.goes_back;
-       ++seed) {
-    const Harm harm = World(rules, seed).Play();
+Violations RunSeeds(const Rules& rules, std::uint32_t days) {
+  Violations all;
+  for (std::uint32_t seed = 1; seed <= days && !all.overstates_knowledge && !all.reverts; ++seed) {
+    const Violations harm = World(rules, seed).Run();
     all.overstates_knowledge = all.overstates_knowledge || harm.overstates_knowledge;
-    all.goes_back = all.goes_back || harm.goes_back;
-    all.too_old = all.too_old || harm.too_old;
+    all.reverts = all.reverts || harm.reverts;
+    all.exceeds_max_age = all.exceeds_max_age || harm.exceeds_max_age;
   }
   return all;
 }
 
 TEST_CASE(
     "A follower knows what it claims to know, never goes back, and is never older than its bound") {
-  const Harm harm = PlayMany({}, 400);
+  const Violations harm = RunSeeds({}, 400);
   CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.goes_back);
-  CHECK_FALSE(harm.too_old);
+  CHECK_FALSE(harm.reverts);
+  CHECK_FALSE(harm.exceeds_max_age);
 }
 
 TEST_CASE("It knows what it claims to know also where the store comes back from older copies") {
-  const Harm harm = PlayMany({.store_comes_back = true}, 800);
+  const Violations harm = RunSeeds({.store_is_restored = true}, 800);
   CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.goes_back);
+  CHECK_FALSE(harm.reverts);
 }
 
 // How old it may be is checked without parts: a follower whose reads fail goes beyond its bound on
 // some seeds, with parts or without (docs/FINDINGS.md).
 TEST_CASE("It knows what it claims to know also where answers hold parts of what has changed") {
-  const Harm harm = PlayMany({.parts = true}, 800);
+  const Violations harm = RunSeeds({.parts = true}, 800);
   CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.goes_back);
+  CHECK_FALSE(harm.reverts);
 }
 
 TEST_CASE("Parts do harm where they are not marked, and where older answers vouch for them") {
-  CHECK(PlayMany({.parts_are_marked = false, .parts = true}, 400).overstates_knowledge);
-  CHECK(PlayMany({.older_yield_to_parts = false, .parts = true}, 800).overstates_knowledge);
+  CHECK(RunSeeds({.partial_answers_are_marked = false, .parts = true}, 400).overstates_knowledge);
+  CHECK(RunSeeds({.older_answers_ignored_after_parts = false, .parts = true}, 800)
+            .overstates_knowledge);
 }
 
 TEST_CASE("Where the store comes back, harm is done where revisions have no eras") {
-  Rules no_eras{.revisions_have_eras = false, .store_comes_back = true};
-  CHECK(PlayMany(no_eras, 400).Any());
+  Rules no_eras{.revisions_have_eras = false, .store_is_restored = true};
+  CHECK(RunSeeds(no_eras, 400).Any());
 }
 
 TEST_CASE("Without any one of the relay's rules harm is done") {
   const std::array<bool Rules::*, 8> rules = {
-      &Rules::age_from_question,   &Rules::watcher_states_age,     &Rules::configuration_is_read,
-      &Rules::log_tells_its_reach, &Rules::older_reads_yield,      &Rules::listings_leave_gaps,
-      &Rules::watcher_keeps_both,  &Rules::told_version_is_checked};
+      &Rules::age_from_request_time,       &Rules::watcher_states_age,
+      &Rules::configuration_is_read,       &Rules::log_reports_gaps,
+      &Rules::older_reads_ignored,         &Rules::listings_record_gaps,
+      &Rules::watcher_needs_configuration, &Rules::announced_version_is_checked};
   for (std::size_t rule = 0; rule < rules.size(); ++rule) {
     Rules without;
     without.*rules[rule] = false;
     INFO("rule " << rule);
-    CHECK(PlayMany(without, 400).Any());
+    CHECK(RunSeeds(without, 400).Any());
   }
 }
 
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -18,7 +18,7 @@
 
 struct ServiceFixture {
   /// @param page_entries as Member has it.
-  explicit ServiceFixture(KeyValueTable stock = StockedTable(), std::size_t page_entries = 0)
+  explicit ServiceFixture(KeyValueTable stock = InitialTable(), std::size_t page_entries = 0)
       : table(std::move(stock)),
         member(context, table, std::chrono::hours(1), page_entries),
         service(context, member.store, member.store_view, member.metrics, member.log,
@@ -136,7 +136,7 @@
   constexpr std::uint32_t kLargeFleet = 500;
   constexpr milliseconds kMostOfTheWait{5'500};
   constexpr milliseconds kListed{1'500};
-  KeyValueTable stock = StockedTable();
+  KeyValueTable stock = InitialTable();
   PutInto(stock, "servers/i-2", ServerText("ready", ""));
   ServiceFixture fixture(stock, kConfigurationAndServer);
   ClockJump clock;
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -14,7 +14,7 @@
   RelayFixture fixture;
   fixture.PutServer("i-2", "ready", kModel);
   fixture.PutServer("i-1", "draining", "");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.follower.store.unreachable = true;  // It needs nothing from there.
   fixture.Exchange();
   REQUIRE(fixture.follower.Record("i-2") != nullptr);
@@ -22,7 +22,7 @@
   CHECK(fixture.follower.Record("i-2")->endpoint.port == 1);
   CHECK(fixture.follower.Record("i-1")->draining);
   fixture.Remove("servers/i-2");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   CHECK(fixture.follower.Record("i-2") == nullptr);
   CHECK(fixture.follower.metrics.relay_answers_taken == 2);
@@ -31,11 +31,11 @@
 
 TEST_CASE("A heartbeat that changes nothing for requests is not relayed") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   for (int beat = 0; beat < 5; ++beat) fixture.PutServer("i-1", "ready", "");
   fixture.PutServer("i-3", "ready", "");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer answer = fixture.Exchange();
   std::vector<std::string> told;
   for (const ServerChange& change : answer.servers) told.push_back(change.record.id);
@@ -46,7 +46,7 @@
   RelayFixture fixture;
   fixture.Put("op/config", R"({"version":9,"routes":[],"services":[]})");
   fixture.PutServer("i-2", "ready", "");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   CHECK(fixture.follower.Version() == 3);
   fixture.Exchange();
   REQUIRE(fixture.RunUntil([&] { return fixture.follower.Version() == 9; }));
@@ -55,17 +55,17 @@
 
 TEST_CASE("More changes than a datagram carries are read from the store") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   for (int server = 0; server < 20; ++server)
     fixture.PutServer("i-" + std::to_string(100 + server), "ready", kModel);
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer whole = fixture.Exchange();
   CHECK(whole.servers.size() == 21);
   CHECK(EncodeMessage(FleetMessage(whole)).size() < 8'000);
   for (int server = 0; server < 120; ++server)
     fixture.PutServer("i-" + std::to_string(200 + server), "ready", kModel);
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer gap = fixture.Exchange();
   CHECK(gap.gap);
   CHECK(gap.servers.empty());
@@ -102,7 +102,7 @@
 
 TEST_CASE("A watcher that is cut off from the store does not make its followers current") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   const auto before = fixture.follower.view.servers_current_at;
   fixture.watcher.store.unreachable = true;
--- a/test/relay/restored_store_test.cc
+++ b/test/relay/restored_store_test.cc
@@ -34,7 +34,7 @@
 void RestoreOlderCopy(RelayFixture& fixture) {
   const KeyValueTable copy = fixture.table;
   WriteMore(fixture);
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   const std::int64_t before = fixture.table.revision().number;
   fixture.table.RestoreFrom(copy);
@@ -72,7 +72,7 @@
 
 TEST_CASE("A daemon that was away hears what is now, though the store's revisions passed its own") {
   boost::asio::io_context context;
-  KeyValueTable table = StockedTable();
+  KeyValueTable table = InitialTable();
   Member member(context, table, milliseconds(20));
   const auto run_until = [&](const std::function<bool()>& done) {
     const auto give_up = BootClock::now() + kBound;
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -27,7 +27,7 @@
     REQUIRE(RunUntil([&] { return starting->Version() == 3; }));
   }
   static KeyValueTable Stocked() {
-    KeyValueTable table = StockedTable();
+    KeyValueTable table = InitialTable();
     for (int server = 0; server < kServers; ++server)
       PutInto(table, "servers/" + ServerName(server), ServerText("ready", kModel));
     return table;
@@ -60,7 +60,7 @@
     return answer;
   }
   /// Until the relay has what was put before.
-  void Settle() {
+  void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     Put(marker, "ready");
     REQUIRE(RunUntil([&] { return relay.Record(marker) != nullptr; }));
@@ -114,7 +114,7 @@
   fleet.Put(ServerName(0), "draining");
   fleet.Remove(ServerName(1));
   fleet.Remove(ServerName(398));
-  fleet.Settle();
+  fleet.WaitForWatcher();
   CHECK(fleet.TakeAllPages() > 2);
   CHECK_FALSE(fleet.starting->store_view.WaitsForServers());
   CHECK(fleet.starting->Record(ServerName(398)) == nullptr);
@@ -144,7 +144,7 @@
   fleet.Exchange();
   const auto known_at = fleet.starting->view.servers_current_at;
   for (int server = 0; server < 200; ++server) fleet.Put(ServerName(server), "draining");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   ChangeAnswer answer = fleet.Exchange();
   REQUIRE(answer.partial);
   CHECK(EncodeMessage(FleetMessage(answer)).size() < 8'000);
@@ -168,7 +168,7 @@
     for (int server = 0; server < kServers; ++server)
       fleet.Put(ServerName(server) + "-" + std::to_string(round), "ready");
   fleet.Remove(ServerName(7));
-  fleet.Settle();
+  fleet.WaitForWatcher();
   CHECK(fleet.Exchange().gap);
   CHECK(fleet.TakeAllPages() > 10);
   CHECK(fleet.starting->Record(ServerName(7)) == nullptr);
@@ -183,7 +183,7 @@
   fleet.Exchange();
   fleet.starting->store.unreachable = true;
   PutInto(fleet.table, "op/config", R"({"version":9,"routes":[],"services":[]})");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   fleet.Exchange();
   CHECK(fleet.starting->Version() == 3);
   const auto question = fleet.starting->store_view.ConfigurationQuestionDue();
@@ -205,7 +205,7 @@
   fleet.TakeAllPages();
   fleet.Exchange();
   PutInto(fleet.table, "op/config", R"({"version":9,"routes":[],"services":[]})");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   fleet.Exchange();
   REQUIRE(fleet.RunUntil([&] { return fleet.starting->Version() == 9; }));
 }
