--- a/src/relay/follow_state.h
+++ b/src/relay/follow_state.h
@@ -40,8 +40,8 @@
 /// In a fleet with relays (see relay/relay_plan.h) all other daemons take server data from a relay,
 /// including the initial listing: a listing grows with the number of servers, and all listings
 /// together with daemons times servers. Such a daemon reads servers from the store only if no relay
-/// has answered for `relay_timeout`. It still reads the configuration from the store; missing
-/// server data does not delay it.
+/// has answered for a long time (`relay_timeout`, or `listing_delay` without server data). It still
+/// reads the configuration from the store; neither known nor missing server data delays that read.
 ///
 /// Pure function of state, event and time; test/relay has a randomized model test.
 namespace follow {
--- a/test/relay/change_log_test.cc
+++ b/test/relay/change_log_test.cc
@@ -14,26 +14,26 @@
   return servers;
 }
 
-TEST_CASE("A change log tells the newest change of each server, in the order of revisions") {
+TEST_CASE("A change log returns the newest change of each server, ordered by revision") {
   ChangeLog log;
-  CHECK_FALSE(log.CoversSince(At(0)));  // Nothing was listed yet.
+  CHECK_FALSE(log.CoversSince(At(0)));  // No listing yet.
   log.Restart(At(10));
   log.Note("a", At(11), false);
   log.Note("b", At(12), false);
   log.Note("a", At(13), true);
-  log.Note("c", At(13), false);  // By the same transaction.
-  log.Note("b", At(9), true);    // From before the listing.
+  log.Note("c", At(13), false);  // Same transaction.
+  log.Note("b", At(9), true);    // Older than the listing.
   log.Advance(At(15));
   CHECK(log.newest() == At(15));
   CHECK(Servers(log.Since(At(10))) == std::vector<std::string>{"b", "a gone", "c"});
   CHECK(Servers(log.Since(At(12))) == std::vector<std::string>{"a gone", "c"});
   CHECK(log.Since(At(13)).empty());
-  log.Note("a", At(13), false);  // Known, or older: nothing goes back.
+  log.Note("a", At(13), false);  // Same or older revision: ignored.
   log.Note("a", At(12), false);
   CHECK(Servers(log.Since(At(12))) == std::vector<std::string>{"a gone", "c"});
 }
 
-TEST_CASE("A change log reaches back to its listing, and as far as it has room") {
+TEST_CASE("A change log covers changes since its listing, up to its size limit") {
   ChangeLog log;
   log.Restart(At(10));
   CHECK(log.CoversSince(At(10)));
@@ -43,7 +43,7 @@
   CHECK_FALSE(log.CoversSince(At(10)));
   CHECK(log.CoversSince(At(5'010)));
   CHECK(log.Since(At(5'009)).size() == 1);
-  // Whatever it says it reaches is whole.
+  // The range that it claims to cover is complete.
   std::int64_t first = 10;
   while (!log.CoversSince(At(first))) ++first;
   CHECK(log.Since(At(first)).size() == static_cast<std::size_t>(5'010 - first));
@@ -52,7 +52,7 @@
   CHECK(log.Since(At(6'000)).empty());
 }
 
-TEST_CASE("Whoever knows of a time that was listed over is told to read the store") {
+TEST_CASE("A follower at a revision that a listing skipped gets a gap") {
   ChangeLog log;
   log.Restart(At(10));
   log.Advance(At(20));
@@ -60,7 +60,8 @@
   CHECK(log.newest() == At(40));
   for (const std::int64_t known : {10, 20, 40, 45}) CHECK(log.CoversSince(At(known)));
   for (const std::int64_t known : {9, 21, 39}) CHECK_FALSE(log.CoversSince(At(known)));
-  // It does not grow without end: the oldest such times are forgotten with all before them.
+  // The number of skipped intervals is bounded: the oldest is dropped together with all changes
+  // before it.
   for (std::int64_t at = 40; at < 40'000; at += 40) log.RecordListing(At(at), At(at + 40));
   CHECK_FALSE(log.CoversSince(At(40)));
   CHECK(log.CoversSince(At(40'000)));
@@ -69,8 +70,8 @@
 }
 
 TEST_CASE(
-    "A change log of a later era begins anew, and tells nobody of an earlier one that it is "
-    "complete") {
+    "A change log restarts in a later era, and does not cover revisions of an "
+    "earlier one") {
   ChangeLog log;
   log.Restart(At(10));
   log.Note("a", At(200), false);
--- a/test/relay/configuration_reader_test.cc
+++ b/test/relay/configuration_reader_test.cc
@@ -18,7 +18,7 @@
 
 struct Reading {
   Reading() { reader.Want(kVersion); }
-  /// One question and its answer from whoever holds `text`.
+  /// Sends one request and takes the answer of a relay that has `text`.
   std::optional<ConfigurationReader::Text> Exchange(const std::string& text) {
     const std::optional<ConfigurationRequest> question = reader.Due(now);
     REQUIRE(question);
@@ -31,7 +31,7 @@
   Time now = kStart;
 };
 
-TEST_CASE("A text comes part by part, as the store has it") {
+TEST_CASE("A text is assembled from its parts exactly as stored") {
   Reading reading;
   CHECK_FALSE(reading.Exchange(LongText('a')));
   CHECK_FALSE(reading.Exchange(LongText('a')));
@@ -42,15 +42,15 @@
   CHECK_FALSE(reading.reader.running());
 }
 
-TEST_CASE("Parts of two texts make none") {
+TEST_CASE("Parts of two different texts are not combined") {
   Reading reading;
   CHECK_FALSE(reading.Exchange(LongText('a')));
   CHECK_FALSE(reading.Exchange(LongText('b')));
-  // From the beginning.
+  // Restarts from the first part.
   CHECK(reading.reader.Due(reading.now)->part == 0);
 }
 
-TEST_CASE("A text that is not what its digest says is not taken") {
+TEST_CASE("A text that does not match its digest is rejected") {
   Reading reading;
   const std::optional<ConfigurationRequest> question = reading.reader.Due(reading.now);
   std::optional<ConfigurationPart> part = PartOf("{}", kRevision, *question);
@@ -61,7 +61,7 @@
   CHECK(reading.reader.running());
 }
 
-TEST_CASE("A part that does not come is asked for again; others are left alone") {
+TEST_CASE("A missing part is requested again; parts that were not requested are ignored") {
   Reading reading;
   const std::optional<ConfigurationRequest> first = reading.reader.Due(reading.now);
   REQUIRE(first);
@@ -78,7 +78,7 @@
   CHECK_FALSE(reading.reader.Due(reading.now + milliseconds(900)));
 }
 
-TEST_CASE("Who is asked for a part beyond the end has none") {
+TEST_CASE("A request for a part beyond the end has no answer") {
   CHECK_FALSE(PartOf("{}", kRevision, {kVersion, 1}));
   CHECK_FALSE(PartOf("", kRevision, {kVersion, 0}));
 }
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -1,7 +1,7 @@
-// A whole fleet that follows its store, in virtual time and one process: the shipped decisions on
-// reads, relays and pages, with what reads and messages weigh reckoned from their sizes. Shows what
-// a start, a lost relay and a store that turns daemons away cost, at sizes up to twice the
-// largest that is served, and that the same fleet without relays does not come up.
+// Simulates a whole fleet and its store in virtual time and one process. It runs the production
+// logic for reads, relays and pages, and models the cost of reads and messages from their sizes.
+// Measures the cost of a start, of lost relays and of a store that refuses reads, for fleets up to
+// twice the largest supported size, and shows that the same fleet does not start without relays.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -32,7 +32,7 @@
 constexpr double kPageEntries = 500;
 constexpr double kConfigurationBytes = 60e3;
 constexpr double kHeartbeatsPerServerPerS = 1 / 1.2;
-constexpr double kEntryCpuS = 10e-6;  ///< Of a whole core, to read one entry of an answer.
+constexpr double kEntryCpuS = 10e-6;  ///< On a full core, to decode one entry of an answer.
 constexpr double kStrongCoreShare = 0.5;
 constexpr double kWeakCoreShare = 0.12;
 constexpr int kServersPerDatagram = 34;
@@ -56,19 +56,19 @@
   int zone = 0;
   bool strong = false;
   bool alive = true;
-  bool refused = false;  ///< The store turns it away.
+  bool refused = false;  ///< The store refuses its reads.
   bool read_failed = false;
   follow::State state;
   std::unique_ptr<RelaySources> sources;
   SnapshotReader snapshot;
-  int page = 0;  ///< Of the snapshot, the next.
+  int page = 0;  ///< Next page of the snapshot.
   Time busy_until{};
   double store_bytes = 0;
   double datagram_bytes = 0;
   Time listed_at{};
   Time configured_at{};
-  std::uint64_t reading = 0;  ///< Number of the read under way.
-  std::uint64_t reads = 0;    ///< Wakes the read that was planned last, no earlier one.
+  std::uint64_t reading = 0;  ///< Number of the read in progress.
+  std::uint64_t reads = 0;    ///< Number of the last scheduled read; earlier ones are ignored.
 };
 
 struct Fleet {
@@ -91,7 +91,7 @@
       At(now + milliseconds(Hash(each->name) % 300), [this, each] { ReadWhenDue(*each); });
       At(now + milliseconds(500 + Hash(each->name) % 500), [this, each] { Ask(*each); });
     }
-    // The leader has won by then and has counted who reports.
+    // By then a leader is elected and has received the reports.
     At(now + milliseconds(2'500), [this] { MakePlan(); });
   }
   static std::uint64_t Hash(const std::string& text) { return std::hash<std::string>{}(text); }
@@ -168,7 +168,7 @@
     double bytes;
     std::uint64_t number;
   };
-  /// Page after page, as long as the read is wanted.
+  /// Reads page by page until the read is complete or abandoned.
   void ReadPage(Daemon& daemon, const ReadUnderWay& read, double left) {
     const double bytes = std::min(left, kConfigurationBytes + kPageEntries * kEntryBytes);
     daemon.store_bytes += bytes;
@@ -235,7 +235,7 @@
       if (daemon->address == address) return daemon.get();
     return nullptr;
   }
-  /// One question and its answer, which takes the relay's time.
+  /// Models one request and its answer, including the relay's processing time.
   void Send(Daemon& from, Daemon& to, double bytes, std::function<void()> answered) {
     to.busy_until =
         std::max(to.busy_until, now + kNetworkDelay) + Seconds(kDatagramCpuS / kStrongCoreShare);
@@ -294,8 +294,8 @@
   void Ask(Daemon& daemon) {
     At(now + kRequestInterval, [this, &daemon] { Ask(daemon); });
     if (daemon.alive && !plan.needed() && daemon.state.listed && Registered()) {
-      // The leader, which names no relays yet, tells of a configuration, and then of more changes
-      // than it can name.
+      // The leader has not named relays yet. It announces a configuration, and then answers with a
+      // gap because of too many changes.
       if (size_told) Decide(daemon, follow::RelaysChanged{true});
       const StoreRevision known = daemon.state.revision;
       const StoreRevision configured{0, known.number + 1};
@@ -327,7 +327,7 @@
     });
   }
 
-  // --- What came of it.
+  // --- Results.
   double AllListedAfterS() const { return LatestS(&Daemon::listed_at); }
   double AllConfiguredAfterS() const { return LatestS(&Daemon::configured_at); }
   double LatestS(Time Daemon::*moment) const {
@@ -345,7 +345,7 @@
                           std::chrono::duration_cast<milliseconds>(now - daemon->state.current_at));
     return oldest;
   }
-  /// The oldest at any time until then, looked at ten times a second.
+  /// @return the maximum data age until `end`, sampled ten times a second.
   milliseconds MaxDataAgeUntil(Time end) {
     milliseconds oldest{0};
     while (now < end) {
@@ -364,7 +364,7 @@
     }
   };
   bool relays_used;
-  bool size_told = false;  ///< The leader's answers tell how many daemons there are.
+  bool size_told = false;  ///< The leader's answers include the fleet size.
   Time registered_at;
   double servers;
   follow::Settings settings = FleetSettings();
@@ -381,19 +381,19 @@
 
 constexpr seconds kTrafficAfter{24};
 
-TEST_CASE("A whole fleet that starts at once is ready in time, also at twice the size") {
+TEST_CASE("A whole fleet that starts at once is ready in time, also at twice the supported size") {
   const int size = GENERATE(250, 500, 1'000, 2'000);
   CAPTURE(size);
   Fleet fleet(size, true);
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllConfiguredAfterS() < 8);
   CHECK(fleet.AllListedAfterS() < 24);
-  // At most 60% of what the store's link carries in that time; at twice the size, all of it.
+  // At most 60% of the store's link capacity in that time; at twice the supported size, all of it.
   CHECK(fleet.store_bytes < (size > 1'000 ? 1 : 0.6) * kStoreBytesPerS * 24);
   CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-/// Of all daemons but relays.
+/// @return the most bytes that any daemon other than a relay read from the store.
 double MostReadFromStore(const Fleet& fleet) {
   double most = 0;
   for (const auto& daemon : fleet.daemons)
@@ -401,7 +401,7 @@
   return most;
 }
 
-TEST_CASE("A listing of all servers that began before relays were named is not read to its end") {
+TEST_CASE("A listing that started before relays were named is abandoned") {
   Fleet fleet(1'000, true, kStart + milliseconds(600));
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllConfiguredAfterS() < 8);
@@ -410,7 +410,8 @@
   CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-TEST_CASE("Daemons that are told of a large fleet list no servers while its relays are chosen") {
+TEST_CASE(
+    "Daemons that know the fleet is large do not list servers while relays are being chosen") {
   Fleet fleet(1'000, true, kStart + milliseconds(600));
   fleet.size_told = true;
   fleet.RunUntil(kStart + seconds(6));
@@ -420,14 +421,15 @@
   CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-TEST_CASE("Without relays a large fleet does not come up: what it reads grows with its square") {
+TEST_CASE(
+    "Without relays a large fleet does not start in time: reads grow with the square of its size") {
   Fleet fleet(1'000, false);
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllListedAfterS() > 24);
-  CHECK(fleet.AllConfiguredAfterS() < 8);  // The configuration waits for nothing.
+  CHECK(fleet.AllConfiguredAfterS() < 8);  // The configuration does not wait for servers.
 }
 
-TEST_CASE("What one daemon moves does not grow with the fleet, and the store serves its relays") {
+TEST_CASE("Traffic per daemon does not grow with the fleet, and the store can serve the relays") {
   double least = 0;
   for (const int size : {500, 1'000, 2'000}) {
     CAPTURE(size);
@@ -446,13 +448,13 @@
     }
     if (least == 0) least = most;
     CHECK(most < 1.5 * least);
-    CHECK(most < 11e3);  // The budget for control, bytes a second.
+    CHECK(most < 11e3);  // Budget for control traffic in bytes/s.
     CHECK((fleet.store_bytes - store_before) / 20 < 0.6 * kStoreBytesPerS);
   }
 }
 
 TEST_CASE(
-    "Lost relays, and a store that turns a third of the daemons away, age nobody's knowledge") {
+    "Lost relays, or a store that refuses a third of the daemons, do not make any data too old") {
   Fleet fleet(1'000, true);
   fleet.RunUntil(kStart + seconds(30));
   const double before = fleet.store_bytes;
--- a/test/relay/follow_state_test.cc
+++ b/test/relay/follow_state_test.cc
@@ -25,12 +25,12 @@
   return answer;
 }
 
-TEST_CASE("Without a watcher the store is read again when knowledge grows old") {
+TEST_CASE("Without a watcher the store is read again when the data reaches its maximum age") {
   State state;
-  CHECK(NextRead(kSettings, state) <= kStart);  // At once at the start.
+  CHECK(NextRead(kSettings, state) <= kStart);  // Immediately after start.
   state = Listed(7);
   CHECK(state.revision == At(7));
-  // Counted from when the read was sent, not from its answer.
+  // The age counts from the send time of the read, not from its answer.
   CHECK(NextRead(kSettings, state) == kStart + milliseconds(2'200));
   state = Reduce(kSettings, state, ReadBegun{}, kStart + milliseconds(2'200)).state;
   CHECK(NextRead(kSettings, state) == Time::max());
@@ -52,11 +52,11 @@
     state = decision.state;
     CHECK(NextRead(kSettings, state) > now + milliseconds(500));
   }
-  // The answers stop: no later than the bound after the last moment that was known.
+  // After the answers stop, the next read is due one maximum age after the last current time.
   CHECK(NextRead(kSettings, state) == now - milliseconds(400) + milliseconds(2'200));
 }
 
-TEST_CASE("What a watcher cannot relay is read soon, and not over and over") {
+TEST_CASE("Changes that a watcher cannot relay are read soon, but not repeatedly") {
   const Time now = kStart + milliseconds(1'000);
   Relayed gap = Answer(9, 12, now);
   Relayed too_short = Answer(7, 7, now);
@@ -66,7 +66,7 @@
   for (const Relayed& answer : {gap, too_short, retired}) {
     const Decision decision = Reduce(kSettings, Listed(7), answer, now);
     CHECK_FALSE(decision.apply);
-    CHECK(decision.state.revision == At(7));  // So that a read from there brings what is missing.
+    CHECK(decision.state.revision == At(7));  // A read from there returns what is missing.
     CHECK(NextRead(kSettings, decision.state) <= now);
     State state = Reduce(kSettings, decision.state, ReadBegun{}, now).state;
     state = Reduce(kSettings, state, ReadEnded{At(8)}, now + milliseconds(10)).state;
@@ -75,38 +75,39 @@
   }
 }
 
-TEST_CASE("A relayed configuration's version leads to a read of the configuration alone, soon") {
+TEST_CASE("An announced configuration version causes a prompt read of the configuration only") {
   const Time now = kStart + milliseconds(1'000);
   Relayed answer = Answer(7, 12, now);
   answer.newer_configuration = true;
   const Decision decision = Reduce(kSettings, Listed(7), answer, now);
-  CHECK(decision.apply);  // What is told of servers does not wait for it.
+  CHECK(decision.apply);  // Server changes do not wait for it.
   CHECK_FALSE(decision.state.ConfigurationIsCurrent());
   CHECK(decision.state.configuration_at == kStart);
   CHECK(NextRead(kSettings, decision.state) <= now);
   CHECK(NextReadKind(kSettings, decision.state, now) == ReadKind::kAnnouncedConfiguration);
   State state = Reduce(kSettings, decision.state, ReadBegun{ReadKind::kConfiguration}, now).state;
-  // Servers are relayed on while the configuration is being read.
+  // Relayed server changes still apply during the configuration read.
   const Decision later = Reduce(kSettings, state, Answer(12, 15, now), now + milliseconds(5));
   CHECK(later.apply);
   state = Reduce(kSettings, later.state, ReadEnded{At(14)}, now + milliseconds(10)).state;
   CHECK(state.revision == At(15));
   CHECK(state.configuration_at == now);
   state = Reduce(kSettings, state, answer, now + milliseconds(20)).state;
-  CHECK(NextRead(kSettings, state) == now + milliseconds(510));  // Not over and over.
+  CHECK(NextRead(kSettings, state) == now + milliseconds(510));  // Rate-limited.
 }
 
-TEST_CASE("Changes are not read from a revision that was relayed past a configuration") {
+TEST_CASE(
+    "Changes are not read from a relayed revision that is newer than an unread configuration") {
   const Time now = kStart + milliseconds(1'000);
   Relayed answer = Answer(7, 12, now);
   answer.newer_configuration = true;
   State state = Reduce(kSettings, Listed(7), answer, now).state;
-  const Time later = now + milliseconds(2'300);  // The watcher is gone, servers grow old.
+  const Time later = now + milliseconds(2'300);  // The watcher is gone; server data expires.
   CHECK(NextReadKind(kSettings, state, later) == ReadKind::kListing);
   CHECK(NextReadKind(kSettings, Listed(7), later) == ReadKind::kChanges);
 }
 
-TEST_CASE("A read that was not answered is followed by one that asks for less") {
+TEST_CASE("An unanswered read is followed by one that requests less") {
   const Time now = kStart + milliseconds(2'300);
   State state = Reduce(kSettings, Listed(7), ReadBegun{ReadKind::kChanges}, now).state;
   state = Reduce(kSettings, state, ReadFailed{milliseconds(100), true}, now).state;
@@ -117,7 +118,7 @@
   state = Reduce(kSettings, state, ReadBegun{ReadKind::kServers}, now).state;
   state = Reduce(kSettings, state, ReadEnded{At(30)}, now + milliseconds(50)).state;
   CHECK(state.revision == At(30));
-  // The other half follows at once.
+  // The configuration read follows immediately.
   CHECK(NextRead(kSettings, state) <= now + milliseconds(100));
   CHECK(NextReadKind(kSettings, state, now + milliseconds(50)) == ReadKind::kConfiguration);
   state = Reduce(kSettings, state, ReadBegun{ReadKind::kConfiguration}, now).state;
@@ -128,7 +129,7 @@
   CHECK(NextReadKind(kSettings, state, next) == ReadKind::kChanges);
 }
 
-TEST_CASE("A read that the store turned away is not made smaller, its pause grows elsewhere") {
+TEST_CASE("A read that the store refused is retried unchanged; the caller increases its delay") {
   State state = Reduce(kSettings, Listed(7), ReadBegun{ReadKind::kChanges}, kStart).state;
   state = Reduce(kSettings, state, ReadFailed{milliseconds(100), false}, kStart).state;
   CHECK(NextReadKind(kSettings, state, kStart + milliseconds(100)) == ReadKind::kChanges);
@@ -137,16 +138,16 @@
   CHECK(NextReadKind(kSettings, state, kStart + milliseconds(100)) == ReadKind::kListing);
 }
 
-TEST_CASE("A listing is read as soon as it is the smaller answer, and no longer") {
+TEST_CASE("A listing is read only while it is expected to be smaller than the changes") {
   State state = Reduce(kSettings, {}, ReadBegun{ReadKind::kListing}, kStart).state;
   state = Reduce(kSettings, state, ReadEnded{At(7), 80'000}, kStart + milliseconds(30)).state;
-  // 20 kB a second: heartbeats.
+  // Heartbeats: 20 kB/s.
   Time now = kStart + milliseconds(2'000);
   state = Reduce(kSettings, state, ReadBegun{ReadKind::kChanges}, now).state;
   state = Reduce(kSettings, state, ReadEnded{At(40), 40'000, 40'000}, now + milliseconds(20)).state;
   CHECK(NextReadKind(kSettings, state, now + milliseconds(2'200)) == ReadKind::kChanges);
   CHECK(NextReadKind(kSettings, state, now + milliseconds(4'100)) == ReadKind::kListing);
-  // 350 kB a second: configurations.
+  // Configurations: 350 kB/s.
   now += milliseconds(2'000);
   state = Reduce(kSettings, state, ReadBegun{ReadKind::kChanges}, now).state;
   state =
@@ -162,7 +163,7 @@
   CHECK(NextReadKind(kSettings, state, now + milliseconds(2'200)) == ReadKind::kChanges);
 }
 
-TEST_CASE("Nothing is believed before the first listing, nor during one") {
+TEST_CASE("Relayed changes are not applied before the first listing or during a listing") {
   const Relayed answer = Answer(0, 12, kStart);
   CHECK_FALSE(Reduce(kSettings, {}, answer, kStart).apply);
   const State listing = Reduce(kSettings, Listed(7), ReadBegun{ReadKind::kListing}, kStart).state;
@@ -171,23 +172,25 @@
   CHECK(decision.state.revision == At(7));
 }
 
-TEST_CASE("An answer to a question from before the last read says nothing of what was read") {
-  // Found by the model: a server that came before the read and went before the watcher's listing
-  // stands in neither, and stayed in use though the follower held itself for complete.
+TEST_CASE(
+    "An answer to a request from before the last read does not confirm data newer than that read") {
+  // Found by the model test: a server added before the read and removed before the watcher's
+  // listing appears as removed in neither, and stayed in use although the follower considered its
+  // data complete.
   const Time now = kStart + milliseconds(1'000);
   const Decision decision = Reduce(kSettings, Listed(9), Answer(7, 12, now), now);
   CHECK_FALSE(decision.apply);
   CHECK(decision.state.revision == At(9));
   CHECK(decision.state.current_at == kStart);
-  // One that tells of nothing newer than the read is as good as ever.
+  // An answer that covers nothing newer than the read is still valid.
   const Decision older = Reduce(kSettings, Listed(9), Answer(7, 9, now), now);
   CHECK(older.state.current_at == now);
 }
 
-TEST_CASE("What is told of another era changes nothing, and of a later one makes a daemon list") {
+TEST_CASE("Answers of another era are not applied, and those of a later era cause a listing") {
   const Time now = kStart + milliseconds(1'000);
   Relayed later = Answer(7, 12, now);
-  later.to_revision = {2, 4};  // Lower by its number.
+  later.to_revision = {2, 4};  // Lower number, but later era.
   const Decision told = Reduce(kSettings, Listed(7), later, now);
   CHECK_FALSE(told.apply);
   CHECK(told.state.revision == At(7));
@@ -206,13 +209,13 @@
         ReadKind::kListing);
 }
 
-TEST_CASE("A failed read is tried again after its pause, also while a watcher answers") {
+TEST_CASE("A failed read is retried after its delay, also while a watcher answers") {
   State state = Reduce(kSettings, Listed(7), ReadBegun{}, kStart).state;
   state = Reduce(kSettings, state, ReadFailed{milliseconds(100)}, kStart + milliseconds(900)).state;
   CHECK(NextRead(kSettings, state) == kStart + milliseconds(1'000));
 }
 
-TEST_CASE("A reason that comes while a read is under way leads to another") {
+TEST_CASE("A gap reported during a read causes another read") {
   State state = Reduce(kSettings, Listed(7), ReadBegun{}, kStart).state;
   Relayed gap = Answer(9, 12, kStart);
   state = Reduce(kSettings, state, gap, kStart + milliseconds(5)).state;
@@ -220,7 +223,7 @@
   CHECK(NextRead(kSettings, state) == kStart + milliseconds(510));
 }
 
-TEST_CASE("A complete answer makes a read needless that a failure had asked for") {
+TEST_CASE("A complete answer cancels the urgent read that a failure had caused") {
   State state = Reduce(kSettings, Listed(7), ReadBegun{}, kStart + milliseconds(2'200)).state;
   state =
       Reduce(kSettings, state, ReadFailed{milliseconds(500)}, kStart + milliseconds(2'210)).state;
@@ -229,31 +232,32 @@
   CHECK(NextRead(kSettings, state) == now - milliseconds(100) + milliseconds(2'200));
 }
 
-TEST_CASE("Followers of a watcher that cannot read the store either wait longer for the store") {
+TEST_CASE("Followers retry the store less often if the watcher cannot read it either") {
   const Time now = kStart + milliseconds(3'000);
   State state = Reduce(kSettings, Listed(7), Answer(7, 7, kStart), now).state;
   CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.max_age);
   CHECK(MaxRetryDelay(kSettings, state, now + milliseconds(1'300)) == kSettings.max_retry_delay);
   const State leads = Reduce(kSettings, state, RoleChanged{true}, now).state;
   CHECK(MaxRetryDelay(kSettings, leads, now) == kSettings.max_retry_delay);
-  // The watcher reads the store: only this daemon does not reach it.
+  // The watcher reads the store; only this daemon cannot reach it.
   state = Reduce(kSettings, state, Answer(7, 7, now - milliseconds(300)), now).state;
   CHECK(MaxRetryDelay(kSettings, state, now) == kSettings.max_retry_delay);
 }
 
-TEST_CASE("A told configuration may be read from an older state, which its version shows") {
+TEST_CASE("An announced configuration may be read stale; its version shows an outdated answer") {
   const Time now = kStart + milliseconds(1'000);
   Relayed answer = Answer(7, 12, now - milliseconds(50));
   answer.newer_configuration = true;
   State told = Reduce(kSettings, Listed(7), answer, now).state;
   CHECK(NextReadKind(kSettings, told, now) == ReadKind::kAnnouncedConfiguration);
   told = Reduce(kSettings, told, ReadBegun{ReadKind::kAnnouncedConfiguration}, now).state;
-  // The right one: it is known as of what the watcher said, whatever the store's answer says.
+  // The announced version: it is current as of the watcher's statement, regardless of the revision
+  // in the store's answer.
   const State read = Reduce(kSettings, told, ReadEnded{At(9)}, now + milliseconds(10)).state;
   CHECK(read.configuration_revision == At(12));
   CHECK(read.configuration_at == now - milliseconds(50));
   CHECK(NextRead(kSettings, read) > now + milliseconds(500));
-  // An older one: it is read again, at once, and for certain.
+  // An older version: it is read again immediately, without allowing a stale answer.
   ReadEnded outdated{At(9)};
   outdated.outdated = true;
   State missed = Reduce(kSettings, told, outdated, now + milliseconds(10)).state;
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -14,7 +14,7 @@
 
 /// A daemon's view of a shared store.
 struct Member {
-  /// @param page_entries of the store's first page; 0: it holds all.
+  /// @param page_entries size of the store's first page; 0: unlimited.
   Member(boost::asio::io_context& context, KeyValueTable& table, std::chrono::milliseconds max_age,
          std::size_t page_entries = 0)
       : store(context, table),
@@ -52,7 +52,7 @@
   table.Transact(transaction);
 }
 
-/// A configuration and a server.
+/// Contains one configuration and one server.
 inline KeyValueTable InitialTable() {
   KeyValueTable table;
   PutInto(table, "op/config", R"({"version":3,"routes":[],"services":[]})");
@@ -60,7 +60,7 @@
   return table;
 }
 
-/// A watcher, and a follower that would not read the store by itself for an hour.
+/// A watcher, and a follower whose maximum age of one hour prevents periodic reads.
 struct RelayFixture {
   RelayFixture()
       : table(InitialTable()),
@@ -78,8 +78,8 @@
   void PutServer(const std::string& id, const std::string& state, const std::string& models) {
     Put("servers/" + id, ServerText(state, models));
   }
-  /// One question and its answer.
-  /// @param parts whether the follower takes parts of what has changed.
+  /// Sends one request to the watcher and takes its answer.
+  /// @param parts whether the follower accepts partial answers.
   ChangeAnswer Exchange(bool parts = false) {
     const std::optional<ChangeRequest> question = follower.store_view.Question();
     REQUIRE(question);
@@ -99,7 +99,7 @@
     }
     return done();
   }
-  /// Until the watcher has what was put before.
+  /// Waits until the watcher has all earlier writes.
   void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     PutServer(marker, "ready", "");
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -1,9 +1,9 @@
-// A store, a watcher and a follower in virtual time, driven by the shipped Reduce and ChangeLog:
-// datagrams that are lost, late, doubled and out of order, processes that freeze with an answer in
-// hand, reads of each kind that fail or come late, daemons cut off from the store, configurations
-// that change, servers that come, change and go all the while, followers that become the watcher, a
-// store that comes back from an older copy of itself and gives its revisions out again.
-// Each rule of the relay is also left out in turn, and its harm is found.
+// Randomized model test: a store, a watcher and a follower in virtual time, using the production
+// Reduce and ChangeLog. Faults: datagrams that are lost, late, duplicated and reordered; processes
+// suspended before they send an answer; reads of each kind that fail or are slow; daemons cut off
+// from the store; changing configurations; servers that are added, changed and removed throughout;
+// followers that become the watcher; a store restored from an older copy, which issues its
+// revisions again. Each rule of the relay is also disabled in turn, and a violation must be found.
 
 #include <algorithm>
 #include <array>
@@ -27,32 +27,31 @@
 constexpr milliseconds kRequestInterval{500};
 constexpr milliseconds kRunTime{40'000};
 constexpr milliseconds kSlowestRead{700};
-constexpr milliseconds kRetryDelay{100};  ///< After a read that failed.
+constexpr milliseconds kRetryDelay{100};  ///< After a failed read.
 constexpr int kServers = 6;
 constexpr const char* kConfiguration = "configuration";
 
-/// One of them is left out to show that it is needed.
+/// Protocol rules; a test disables one to show that it is needed.
 struct Rules {
-  bool age_from_request_time = true;  ///< An answer's age counts from when it was asked for.
-  bool watcher_states_age = true;     ///< The watcher's own knowledge may be old.
-  bool configuration_is_read = true;  ///< What is not relayed is not passed over.
-  bool log_reports_gaps = true;       ///< A watcher says when it does not know what came before.
-  bool older_reads_ignored = true;    ///< A read's answer does not undo what was relayed meanwhile.
-  bool listings_record_gaps = true;   ///< What came and went before a listing was never seen.
-  bool watcher_needs_configuration = true;  ///< None relays that knows servers newer than the rest.
-  bool announced_version_is_checked = true;  ///< A stale read is taken for what it is.
-  bool revisions_have_eras = true;           ///< Else those of two eras are compared as if of one.
-  bool partial_answers_are_marked = true;    ///< A part of what has changed is not taken for all.
-  bool older_answers_ignored_after_parts = true;  ///< An older answer vouches for no part.
-  bool parts = false;                             ///< No rule: whether answers may hold parts.
-  bool store_is_restored = false;  ///< No rule: whether the day has a store that does.
+  bool age_from_request_time = true;         ///< An answer's age counts from the request.
+  bool watcher_states_age = true;            ///< Answers include the age of the watcher's data.
+  bool configuration_is_read = true;         ///< Announced configurations are read.
+  bool log_reports_gaps = true;              ///< A watcher reports a gap beyond its log.
+  bool older_reads_ignored = true;           ///< A read does not revert newer relayed data.
+  bool listings_record_gaps = true;          ///< Listings mark skipped revisions as unknown.
+  bool watcher_needs_configuration = true;   ///< Relays only with a current configuration.
+  bool announced_version_is_checked = true;  ///< Stale reads are detected.
+  bool revisions_have_eras = true;           ///< Revisions of different eras are distinguished.
+  bool partial_answers_are_marked = true;    ///< Partial answers do not count as complete.
+  bool older_answers_ignored_after_parts = true;  ///< Older answers do not complete a part.
+  bool parts = false;                             ///< Not a rule: enables partial answers.
+  bool store_is_restored = false;                 ///< Not a rule: enables store restores.
 };
 
-/// Revision of the newest change of each server that is there and of the configuration, as some
-/// daemon knows it.
+/// Newest revision of each existing server and of the configuration, as known to one daemon.
 using Knowledge = std::map<std::string, StoreRevision>;
 
-/// Of one entry of the store.
+/// A change of one store entry.
 struct Change {
   Time time;
   std::string key;
@@ -65,15 +64,15 @@
   follow::State state;
   Knowledge known;
   ChangeLog log;
-  StoreRevision told;               ///< Of the configuration that the watcher told of last.
-  StoreRevision reading_announced;  ///< The same when the read under way began.
-  bool cut_off = false;             ///< From the store.
+  StoreRevision told;               ///< Revision of the last announced configuration.
+  StoreRevision reading_announced;  ///< `told` at the start of the current read.
+  bool cut_off = false;             ///< The store is unreachable.
 };
 
 struct Violations {
-  bool overstates_knowledge = false;  ///< Something that is older than `current_at` is not known.
+  bool overstates_knowledge = false;  ///< A change older than `current_at` is unknown.
   bool reverts = false;
-  bool exceeds_max_age = false;  ///< Knowledge older than the bound, though the store can be read.
+  bool exceeds_max_age = false;  ///< Data exceeds the bound although the store is reachable.
   bool Any() const { return overstates_knowledge || reverts || exceeds_max_age; }
 };
 
@@ -87,18 +86,18 @@
     return milliseconds(std::uniform_int_distribution<int>(least, most)(random));
   }
   bool Chance(double share) { return std::uniform_real_distribution<>(0, 1)(random) < share; }
-  /// Of a datagram: mostly short, at times that of a frozen process or a full link.
+  /// Delay of a datagram: usually short, sometimes as of a suspended process or a congested link.
   milliseconds Delay() { return Chance(0.05) ? Between(0, 4'000) : Between(0, 30); }
 
   void Record(const std::string& key, bool gone) {
     revision = revision.Next();
     history.emplace(revision, Change{now, key, gone});
   }
-  /// What daemons see of a revision.
+  /// The revision as daemons see it.
   StoreRevision Seen(StoreRevision at) const {
     return rules.revisions_have_eras ? at : StoreRevision{0, at.number};
   }
-  /// The store comes back as it was some changes ago; what was written since is written again.
+  /// Restores the store to a state some changes ago, then writes the lost changes again.
   void RestoreStore() {
     const std::int64_t lost = std::min<std::int64_t>(revision.number - 1, Between(1, 60).count());
     const StoreRevision copy{revision.era, revision.number - lost};
@@ -149,7 +148,7 @@
     const auto known = daemon.known.find(key);
     const StoreRevision before = known == daemon.known.end() ? StoreRevision{} : known->second;
     if (changed < before) {
-      // A configuration is taken with a higher version only, whoever brings it.
+      // A configuration is accepted from any source only with a higher version.
       if (key == kConfiguration) return;
       harm.reverts = true;
     }
@@ -203,13 +202,13 @@
         outdated = !ReadAnnounced(daemon, at);
       else
         TakeListing(daemon, at, kind);
-      // Now the changes and now a listing are expected to be the smaller answer.
+      // Randomly makes either the changes or a listing the smaller expected answer.
       Reduce(daemon, follow::ReadEnded{Seen(at), 1 + static_cast<double>(random() % kServers),
                                        bytes, outdated});
       ReadWhenDue(daemon);
     });
   }
-  /// From a state that may be older. @return whether it is the one that was told.
+  /// Reads a possibly stale state. @return whether it is the announced version.
   bool ReadAnnounced(Daemon& daemon, StoreRevision at) {
     const StoreRevision older{at.era, std::max<std::int64_t>(1, at.number - 12)};
     const StoreRevision answered_at = Chance(0.5) ? at : older;
@@ -246,7 +245,7 @@
 
   void Ask() {
     At(now + kRequestInterval, [this] { Ask(); });
-    if (!follower.state.listed || Chance(0.05)) return;  // Lost, or nothing to ask yet.
+    if (!follower.state.listed || Chance(0.05)) return;  // Lost, or not listed yet.
     const Time asked = now;
     const StoreRevision from = follower.state.revision;
     for (int copy = Chance(0.05) ? 2 : 1; copy > 0; --copy)
@@ -277,7 +276,7 @@
         TakeAnswer(asked, age, answer, configuration, changes);
       });
   }
-  /// As if the datagram held no more than some of the oldest changes.
+  /// Truncates the answer to some of the oldest changes, as if the datagram held no more.
   void KeepOldestChanges(follow::Relayed& answer, std::vector<ChangeLog::Change>& changes) {
     if (answer.gap || changes.size() < 2) return;
     const std::size_t kept = 1 + random() % (changes.size() - 1);
@@ -312,12 +311,12 @@
     ReadWhenDue(follower);
   }
 
-  /// Where daemons see no eras, a revision is of the one that the store is in.
+  /// If daemons do not see eras, the revision is assumed to be in the store's current era.
   StoreRevision TrueRevision(StoreRevision seen) const {
     return rules.revisions_have_eras ? seen : StoreRevision{revision.era, seen.number};
   }
 
-  /// What a daemon claims to know as of some time, it knows.
+  /// Checks that a daemon knows every change older than the time at which it claims to be current.
   void Check(const Daemon& daemon) {
     if (!daemon.state.listed) return;
     for (const auto& [changed, change] : history) {
@@ -332,14 +331,15 @@
       if (stale || unheard_of) harm.overstates_knowledge = true;
     }
   }
-  /// Whether the server goes after that revision: then who does not know it may know that.
+  /// @return whether the entry is removed after that revision; a daemon that lacks it may then be
+  /// up to date.
   bool IsRemovedAfter(const std::string& key, StoreRevision changed) const {
     return std::any_of(history.upper_bound(changed), history.end(), [&](const auto& later) {
       return later.second.gone && later.second.key == key;
     });
   }
   void CheckAge() {
-    // A return is a disruption of the store: no bound is stated for how old knowledge may be then.
+    // A restore is a store outage, for which no maximum data age is specified.
     if (rules.store_is_restored) return;
     const milliseconds bound = kSettings.max_age + 2 * kSlowestRead;
     if (follower.cut_off || now < reachable_since + bound) return;
@@ -347,14 +347,14 @@
       harm.exceeds_max_age = true;
   }
 
-  /// One of the daemons is cut off from the store, or reaches it again.
+  /// Disconnects one daemon from the store, or reconnects it.
   void ToggleConnection() {
     Daemon& daemon = Chance(0.7) ? watcher : follower;
     daemon.cut_off = !daemon.cut_off;
     if (!follower.cut_off && &daemon == &follower) reachable_since = now;
     At(now + Between(500, 6'000), [this] { ToggleConnection(); });
   }
-  /// Something makes the follower read: an answer with a gap.
+  /// Makes the follower read by an answer with a gap.
   void SendGap() {
     follow::Relayed gap;
     gap.gap = true;
@@ -363,8 +363,7 @@
     ReadWhenDue(follower);
     At(now + Between(200, 3'000), [this] { SendGap(); });
   }
-  /// The watcher is killed and another takes its place, which has read the store only now or
-  /// followed it before.
+  /// Kills the watcher and replaces it by one that either starts without data or was the follower.
   void ReplaceWatcher() {
     const bool follower_leads = Chance(0.5) && !follower.state.reading_since;
     if (!watcher.state.reading_since) {
@@ -439,39 +438,40 @@
 }
 
 TEST_CASE(
-    "A follower knows what it claims to know, never goes back, and is never older than its bound") {
+    "A follower's data is as complete as it claims, never reverts and never exceeds its maximum "
+    "age") {
   const Violations harm = RunSeeds({}, 400);
   CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.reverts);
   CHECK_FALSE(harm.exceeds_max_age);
 }
 
-TEST_CASE("It knows what it claims to know also where the store comes back from older copies") {
+TEST_CASE("A follower's data is as complete as it claims also after restores from older copies") {
   const Violations harm = RunSeeds({.store_is_restored = true}, 800);
   CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.reverts);
 }
 
-// How old it may be is checked without parts: a follower whose reads fail goes beyond its bound on
-// some seeds, with parts or without (docs/FINDINGS.md).
-TEST_CASE("It knows what it claims to know also where answers hold parts of what has changed") {
+// The maximum age is only checked without partial answers: a follower whose reads fail exceeds its
+// bound on some seeds, with or without partial answers (docs/FINDINGS.md).
+TEST_CASE("A follower's data is as complete as it claims also with partial answers") {
   const Violations harm = RunSeeds({.parts = true}, 800);
   CHECK_FALSE(harm.overstates_knowledge);
   CHECK_FALSE(harm.reverts);
 }
 
-TEST_CASE("Parts do harm where they are not marked, and where older answers vouch for them") {
+TEST_CASE("Unmarked parts, and older answers that complete a part, cause violations") {
   CHECK(RunSeeds({.partial_answers_are_marked = false, .parts = true}, 400).overstates_knowledge);
   CHECK(RunSeeds({.older_answers_ignored_after_parts = false, .parts = true}, 800)
             .overstates_knowledge);
 }
 
-TEST_CASE("Where the store comes back, harm is done where revisions have no eras") {
+TEST_CASE("Store restores cause violations if revisions have no eras") {
   Rules no_eras{.revisions_have_eras = false, .store_is_restored = true};
   CHECK(RunSeeds(no_eras, 400).Any());
 }
 
-TEST_CASE("Without any one of the relay's rules harm is done") {
+TEST_CASE("Disabling any single relay rule causes a violation") {
   const std::array<bool Rules::*, 8> rules = {
       &Rules::age_from_request_time,       &Rules::watcher_states_age,
       &Rules::configuration_is_read,       &Rules::log_reports_gaps,
--- a/test/relay/relay_plan_test.cc
+++ b/test/relay/relay_plan_test.cc
@@ -20,7 +20,7 @@
   return "10." + std::to_string(zone) + ".0." + std::to_string(daemon) + ":7000";
 }
 
-/// Three zones of ten daemons; the last three of each are strong.
+/// Three zones of ten daemons; the last three of each zone are strong.
 struct Fleet {
   explicit Fleet(std::uint32_t from_daemons = 20) : planner(from_daemons) {}
 
@@ -34,7 +34,7 @@
       for (int daemon = 0; daemon < 10; ++daemon)
         if (Address(zone, daemon) != silent) planner.Note(Member(zone, daemon), now);
   }
-  /// All report each second, and a plan is made.
+  /// Every second all daemons report and the planner runs.
   RelayPlan RunFor(RelayPlan plan, int for_s) {
     for (int second = 0; second < for_s; ++second) {
       now += seconds(1);
@@ -49,7 +49,7 @@
   std::string silent;
 };
 
-TEST_CASE("Each zone of a large fleet has its strongest as relays") {
+TEST_CASE("Each zone of a large fleet has its strongest daemons as relays") {
   Fleet fleet;
   const RelayPlan plan = fleet.RunFor({}, 3);
   REQUIRE(plan.zones.size() == 3);
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("A plan stands until one of its relays is silent, and only that one is replaced") {
+TEST_CASE("A plan stays until one of its relays stops reporting, and only that relay is replaced") {
   Fleet fleet;
   const RelayPlan first = fleet.RunFor({}, 3);
   CHECK(fleet.RunFor(first, 60).number == first.number);
@@ -92,7 +92,7 @@
   CHECK(second.zones[1].relays.size() == 2);
 }
 
-TEST_CASE("A relay at a planned stop is replaced at once") {
+TEST_CASE("A relay in a planned shutdown is replaced immediately") {
   Fleet fleet;
   const RelayPlan first = fleet.RunFor({}, 12);
   RelayPlanner::Member stopping = fleet.Member(0, 8);
@@ -102,7 +102,7 @@
   CHECK_FALSE(fleet.planner.Plan(first, kStart, fleet.now).Names(stopping.address));
 }
 
-TEST_CASE("A new leader changes nothing before it can have heard of all") {
+TEST_CASE("A new leader keeps the plan until all daemons have had time to report") {
   Fleet fleet;
   const RelayPlan known = fleet.RunFor({}, 3);
   RelayPlanner another(20);
@@ -111,11 +111,11 @@
   CHECK(another.Plan(known, fleet.now, fleet.now + seconds(10)).number == known.number + 1);
 }
 
-TEST_CASE("Small fleets, and those with a build that knows no relays, have none") {
+TEST_CASE("Small fleets, and those with a build that does not support relays, have none") {
   SECTION("small") {
     Fleet fleet(40);
     const RelayPlan plan = fleet.RunFor({}, 3);
-    CHECK(plan.number == 1);  // It is told that there are none.
+    CHECK(plan.number == 1);  // The plan states that there are no relays.
     CHECK_FALSE(plan.needed());
   }
   SECTION("turned off") { CHECK_FALSE(Fleet(0).RunFor({}, 3).needed()); }
@@ -126,7 +126,7 @@
     before.supports_relays = false;
     fleet.planner.Note(before, fleet.now + seconds(2));
     CHECK_FALSE(fleet.RunFor({}, 3).needed());
-    CHECK(fleet.RunFor({}, 12).needed());  // It is gone.
+    CHECK(fleet.RunFor({}, 12).needed());  // That daemon has timed out.
   }
   SECTION("not long enough since it began to lead") {
     Fleet fleet;
@@ -135,7 +135,7 @@
   }
 }
 
-/// The daemons 9 watch the store.
+/// The daemons whose address ends in .9 watch the store.
 RelayPlan TwoZones() {
   return {1,
           31,
@@ -149,7 +149,7 @@
   return sources;
 }
 
-TEST_CASE("Daemons spread over the relays of their zone, and leave the one that watches alone") {
+TEST_CASE("Daemons spread over the relays of their zone, except the one that watches the store") {
   std::map<std::string, int> asked;
   for (int daemon = 0; daemon < 100; ++daemon)
     ++asked[SourcesFor("10.0.1." + std::to_string(daemon) + ":1").Current(kStart)];
@@ -158,7 +158,7 @@
   CHECK(asked["10.0.0.2:1"] > 30);
 }
 
-TEST_CASE("A relay asks those before it, and watches the store when all of these are silent") {
+TEST_CASE("A relay asks those before it, and watches the store if none of them answers") {
   RelaySources sources = SourcesFor("10.0.0.1:1");
   CHECK(sources.Current(kStart) == "10.0.0.9:1");
   CHECK_FALSE(sources.Watches(kStart));
@@ -169,17 +169,19 @@
   sources.RecordOwnReads(false, kStart + seconds(3));
   sources.RecordOwnReads(true, kStart + seconds(59));
   CHECK(sources.Watches(kStart + seconds(60)));
-  // Where the store turns it away as well, relays of other zones are asked.
+  // If the store refuses its reads as well, it asks relays of other zones.
   sources.RecordOwnReads(true, kStart + seconds(60));
   CHECK(sources.Current(kStart + seconds(60)).starts_with("10.1."));
-  // Another plan begins anew.
+  // A new plan resets the selection.
   RelayPlan next = TwoZones();
   next.zones[0].relays[0] = "10.0.0.8:1";
   sources.SetPlan(next, kStart + seconds(60));
   CHECK(sources.Current(kStart + seconds(60)) == "10.0.0.8:1");
 }
 
-TEST_CASE("A silent relay is left for the next, one of another zone at last, and home again") {
+TEST_CASE(
+    "After timeouts the next relay is asked, then one of another zone, and later the own zone "
+    "again") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
   std::vector<std::string> asked;
   Time now = kStart;
@@ -197,7 +199,7 @@
   CHECK(sources.Current(now + seconds(6)).starts_with("10.0."));
 }
 
-TEST_CASE("Who knows nothing yet gives relays time to read the store") {
+TEST_CASE("A daemon without data gives relays time to read the store") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
   sources.SetLearning(true);
   const std::string first = sources.Current(kStart);
@@ -213,7 +215,7 @@
   CHECK(sources.Current(kStart + seconds(6)) != first);
 }
 
-TEST_CASE("A relay that is behind is left for one that knows more") {
+TEST_CASE("A relay with old data is replaced by another") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
   const std::string behind = sources.Current(kStart);
   sources.Asked(kStart);
@@ -223,7 +225,7 @@
   CHECK(sources.Current(kStart) != behind);
 }
 
-TEST_CASE("A new plan leaves a relay that stays, and drops one that goes") {
+TEST_CASE("A new plan keeps the current relay if it is still named, and drops it otherwise") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
   const std::string first = sources.Current(kStart);
   RelayPlan next = TwoZones();
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -1,4 +1,4 @@
-// A daemon's part in a fleet with relays, without a network.
+// RelayService of one daemon in a fleet with relays, without a network.
 
 #include "gateway/relay_service.h"
 
@@ -47,7 +47,7 @@
     if (!relays.empty()) plan.zones.push_back({ZoneIdOf("north"), std::move(relays)});
     return plan;
   }
-  /// @return to whom messages of that kind were sent.
+  /// @return the recipients of the sent messages of this type.
   template <typename Message>
   std::vector<std::string> SentTo() const {
     std::vector<std::string> to;
@@ -65,7 +65,7 @@
   RelayService service;
 };
 
-TEST_CASE("The first relay of a zone watches the store and answers, until no relay is needed") {
+TEST_CASE("The first relay of a zone watches the store and answers until a plan without relays") {
   ServiceFixture fixture;
   const ServersRequest question{1, ""};
   CHECK_FALSE(fixture.member.store_view.Page(question).relays);
@@ -79,7 +79,7 @@
   CHECK_FALSE(fixture.member.store_view.Page(question).relays);
 }
 
-TEST_CASE("Another relay asks the first, and serves what it hears; a daemon only asks") {
+TEST_CASE("Another relay asks the first and serves the data it receives; a daemon only asks") {
   ServiceFixture fixture;
   SECTION("relay") {
     fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kSelf}));
@@ -94,7 +94,7 @@
   CHECK(fixture.SentTo<DemandReport>().size() == 1);
 }
 
-TEST_CASE("What comes from a daemon that is not asked as a relay is dropped") {
+TEST_CASE("Messages from a daemon that is not a selected relay are dropped") {
   ServiceFixture fixture;
   fixture.service.TakePlan(ServiceFixture::Plan(1, {kOther, kLeader}));
   fixture.service.TakeServersPage({}, "10.9.9.9:7000");
@@ -103,7 +103,7 @@
   CHECK(fixture.dropped.size() == 2);
 }
 
-TEST_CASE("An older plan changes nothing; a leader tells its plan to whoever knows another") {
+TEST_CASE("An older plan is ignored; a leader sends its plan to daemons that report another") {
   ServiceFixture fixture;
   fixture.service.TakePlan(ServiceFixture::Plan(5, {kOther}));
   fixture.service.TakePlan(ServiceFixture::Plan(4, {kSelf}));
@@ -131,7 +131,7 @@
   CHECK(fixture.service.plan().number == 7);
 }
 
-TEST_CASE("In a large fleet a plan of relays is waited for, but not for ever") {
+TEST_CASE("In a large fleet a daemon waits for a relay plan, but only for a limited time") {
   constexpr std::size_t kConfigurationAndServer = 2;
   constexpr std::uint32_t kLargeFleet = 500;
   constexpr milliseconds kMostOfTheWait{5'500};
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -10,12 +10,12 @@
 
 constexpr const char* kModel = R"({"name":"m","version":1,"adapters":["a1"]})";
 
-TEST_CASE("A follower learns of servers from the watcher and does not read the store") {
+TEST_CASE("A follower gets servers from the watcher and does not read the store") {
   RelayFixture fixture;
   fixture.PutServer("i-2", "ready", kModel);
   fixture.PutServer("i-1", "draining", "");
   fixture.WaitForWatcher();
-  fixture.follower.store.unreachable = true;  // It needs nothing from there.
+  fixture.follower.store.unreachable = true;  // The store is not needed.
   fixture.Exchange();
   REQUIRE(fixture.follower.Record("i-2") != nullptr);
   CHECK(fixture.follower.Record("i-2")->models == std::vector<HeldModel>{{"m", {"a1"}}});
@@ -29,7 +29,7 @@
   CHECK(fixture.follower.view.ConfigurationCurrent(BootClock::now()));
 }
 
-TEST_CASE("A heartbeat that changes nothing for requests is not relayed") {
+TEST_CASE("A heartbeat without changes relevant to request routing is not relayed") {
   RelayFixture fixture;
   fixture.WaitForWatcher();
   fixture.Exchange();
@@ -53,7 +53,7 @@
   CHECK(fixture.follower.Record("i-2") != nullptr);
 }
 
-TEST_CASE("More changes than a datagram carries are read from the store") {
+TEST_CASE("Changes that exceed one datagram are read from the store") {
   RelayFixture fixture;
   fixture.WaitForWatcher();
   fixture.Exchange();
@@ -74,7 +74,7 @@
   }));
 }
 
-TEST_CASE("A follower from before the watcher's log reads the store itself") {
+TEST_CASE("A follower at a revision older than the watcher's log reads the store itself") {
   RelayFixture fixture;
   fixture.watcher.store.EndWatch();
   fixture.watcher.store.unreachable = true;
@@ -90,7 +90,7 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.follower.Record("i-2") != nullptr; }));
 }
 
-TEST_CASE("A sender that leads no more makes a follower look for the next leader") {
+TEST_CASE("An answer from a former leader makes a follower read the store") {
   RelayFixture fixture;
   ChangeAnswer answer;
   answer.asked_at_us = fixture.follower.store_view.Question()->asked_at_us;
--- a/test/relay/restored_store_test.cc
+++ b/test/relay/restored_store_test.cc
@@ -1,17 +1,15 @@
-// What users saw: requests reached a server 3.5 and 4.0 s after it had said that it leaves; 3 s are
-// allowed. The store had been away for 3 s, 4 s before that, and had come back from an older copy:
-// its revision went back from 272 to 244 and rose anew. The server's word was written as revision
-// 257. The leader took it over and relayed it to nobody; each of the 58 followers believed that it
-// knew all.
+// Guards against comparing revisions of two eras of the store as if they were of one.
 //
-// Evidence: all 58 logged that they had read revision 244 from the store, and within 0.6 s that
-// they had taken revision 272 from the leader, a revision that the store had not given out again.
-// The leader's log of changes kept the greatest revision that it had ever seen, so its answer after
-// the store's return said "nothing has changed up to 272". What was written at 245 to 272 was older
-// than that to every follower, in relayed answers, reads of changes and listings alike. Entries
-// above 272 were taken over everywhere.
+// Observed failure: requests reached a server 3.5 and 4.0 s after it had announced that it leaves;
+// 3 s are allowed. 4 s before, the store had returned from an outage of 3 s, restored from an older
+// copy: its revision dropped from 272 to 244 and then increased again. The leader applied the
+// server's entry, written at revision 257, but relayed it to none of its 58 followers.
 //
-// Cause: revisions of two histories of the store were compared as if they were of one.
+// Cause: all 58 had read revision 244 from the store, and within 0.6 s accepted revision 272 from
+// the leader, which the restored store had not issued yet. The leader's change log kept the highest
+// revision that it had ever seen, so its answers stated that nothing had changed up to 272. Each
+// follower therefore treated entries written at 245 to 272 as old, in relayed answers, reads of
+// changes and listings alike. Entries above 272 were applied everywhere.
 
 #include <catch2/catch.hpp>
 
@@ -24,13 +22,13 @@
 
 constexpr milliseconds kBound{3'000};
 
-/// Twenty changes that are not in a copy taken before them.
+/// Writes twenty changes, which a copy taken before does not contain.
 void WriteMore(RelayFixture& fixture) {
   for (int change = 0; change < 20; ++change) fixture.PutServer("i-other", "ready", "");
 }
 
-/// Both daemons know the newest revision; then the store comes back from a copy without the last
-/// twenty changes, and both have read it.
+/// Brings both daemons to the newest revision, then restores the store from a copy without the last
+/// twenty changes and waits until both have read it.
 void RestoreOlderCopy(RelayFixture& fixture) {
   const KeyValueTable copy = fixture.table;
   WriteMore(fixture);
@@ -40,7 +38,7 @@
   fixture.table.RestoreFrom(copy);
   REQUIRE(fixture.table.revision().number < before);
   fixture.watcher.store.EndWatch();
-  ChangeAnswer retired;  // Makes the follower read the store by itself, as an outage does.
+  ChangeAnswer retired;  // Makes the follower read the store, as an outage does.
   retired.leads = false;
   fixture.follower.store_view.TakeAnswer(retired);
   REQUIRE(fixture.RunUntil([&] {
@@ -55,7 +53,7 @@
   return record != nullptr && record->draining;
 }
 
-TEST_CASE("A follower hears that a server leaves though the store's revisions went back") {
+TEST_CASE("A follower learns that a server is draining after the store's revisions went back") {
   RelayFixture fixture;
   RestoreOlderCopy(fixture);
   fixture.Exchange();
@@ -70,7 +68,8 @@
   CHECK(known);
 }
 
-TEST_CASE("A daemon that was away hears what is now, though the store's revisions passed its own") {
+TEST_CASE(
+    "A reconnected daemon gets the current state although the restored store passed its revision") {
   boost::asio::io_context context;
   KeyValueTable table = InitialTable();
   Member member(context, table, milliseconds(20));
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -1,4 +1,4 @@
-// A daemon of a large fleet: it starts, and catches up, without listing all servers of the store.
+// A daemon of a large fleet starts and catches up without listing all servers from the store.
 
 #include <catch2/catch.hpp>
 
@@ -17,8 +17,7 @@
 
 std::string ServerName(int number) { return "i-" + std::to_string(1'000 + number); }
 
-/// A store with more servers than a page holds, a relay that has listed it, and a daemon that
-/// starts.
+/// A store with more servers than fit in a page, a relay that has listed it, and a starting daemon.
 struct LargeFleet {
   LargeFleet() : table(Stocked()), relay(context, table, milliseconds(20)) {
     REQUIRE(RunUntil([&] { return relay.Record(ServerName(kServers - 1)) != nullptr; }));
@@ -40,7 +39,7 @@
     transaction.operations.emplace_back(DeleteOperation{"servers/" + id});
     table.Transact(transaction);
   }
-  /// Pages go back and forth until the daemon has all. @return how many.
+  /// Exchanges pages until the daemon has all servers. @return the number of pages.
   int TakeAllPages() {
     int pages = 0;
     while (const std::optional<ServersRequest> question =
@@ -59,7 +58,7 @@
     starting->store_view.TakeAnswer(answer);
     return answer;
   }
-  /// Until the relay has what was put before.
+  /// Waits until the relay has all earlier writes.
   void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     Put(marker, "ready");
@@ -84,25 +83,25 @@
   int markers_ = 0;
 };
 
-TEST_CASE("A configuration is in force though not one server was listed") {
+TEST_CASE("A configuration is in force before any server is listed") {
   LargeFleet fleet;
   CHECK(fleet.starting->store_view.WaitsForServers());
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
   CHECK(fleet.starting->view.servers.all().empty());
-  // Nobody has said where to ask, and nothing is asked of the store meanwhile.
+  // No relay is named yet, and the daemon does not read the store meanwhile.
   fleet.RunUntil([] { return false; }, milliseconds(200));
   CHECK(fleet.starting->store.listings() == 0);
   CHECK_FALSE(fleet.starting->store_view.ServersQuestionDue());
 }
 
-TEST_CASE("A fleet that has no relays is listed at once") {
+TEST_CASE("Without relays a daemon lists the servers immediately") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(false);
   REQUIRE(fleet.RunUntil([&] { return fleet.starting->Record(ServerName(399)) != nullptr; }));
   CHECK(fleet.starting->store.listings() == 1);
 }
 
-TEST_CASE("All servers come from a relay, and what changed meanwhile after them") {
+TEST_CASE("All servers come from a relay, followed by the changes made meanwhile") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   const std::optional<ServersRequest> first = fleet.starting->store_view.ServersQuestionDue();
@@ -110,7 +109,7 @@
   const ServersPage page = fleet.relay.store_view.Page(*first);
   REQUIRE(page.more);
   fleet.starting->store_view.TakePage(page, "relay");
-  // Before and after the place that the pages have reached.
+  // Changes before and after the current page position.
   fleet.Put(ServerName(0), "draining");
   fleet.Remove(ServerName(1));
   fleet.Remove(ServerName(398));
@@ -125,7 +124,7 @@
   CHECK(fleet.starting->store.listings() == 0);
 }
 
-TEST_CASE("A relay that has not read the store itself gives nothing") {
+TEST_CASE("A relay that has not read the store itself declines") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   const std::optional<ServersRequest> question = fleet.starting->store_view.ServersQuestionDue();
@@ -137,7 +136,8 @@
   CHECK(fleet.starting->store_view.WaitsForServers());
 }
 
-TEST_CASE("More changes than a datagram carries come in parts, and count as known with the last") {
+TEST_CASE(
+    "Changes that exceed one datagram come in parts, and count as complete only with the last") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE(
-    "Where the relay's log does not reach back, its servers are taken again, not the store's") {
+    "If the relay's log does not reach back, servers are fetched again from it, not the store") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
@@ -176,7 +176,8 @@
   CHECK(fleet.starting->store.listings() == 0);
 }
 
-TEST_CASE("A newer configuration comes from a relay, also where the store turns the daemon away") {
+TEST_CASE(
+    "A newer configuration comes from a relay, also if the store is unreachable for the daemon") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
@@ -195,11 +196,11 @@
   CHECK_FALSE(fleet.starting->store_view.ConfigurationQuestionDue());
   fleet.Exchange();
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
-  // Of another version than its own a relay tells nothing.
+  // A relay does not answer for a version other than its own.
   CHECK_FALSE(fleet.relay.store_view.Part({8, 0}));
 }
 
-TEST_CASE("A configuration that no relay gives is read from the store") {
+TEST_CASE("A configuration that no relay provides is read from the store") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
--- a/test/relay/snapshot_reader_test.cc
+++ b/test/relay/snapshot_reader_test.cc
@@ -35,11 +35,11 @@
   Time now = kStart;
 };
 
-TEST_CASE("Pages are asked for one after the other, and are as old as the first") {
+TEST_CASE("Pages are requested one at a time, and take the revision and age of the first") {
   Reading reading;
   const ServersRequest first = reading.Ask();
   CHECK(first.after.empty());
-  CHECK_FALSE(reading.reader.Due(reading.now));  // It is open.
+  CHECK_FALSE(reading.reader.Due(reading.now));  // A request is outstanding.
   CHECK(reading.reader.Take(PageFor(first, "i-3", true, 50), "relay") == Taken::kPage);
   reading.now += milliseconds(5);
   const ServersRequest second = reading.Ask();
@@ -50,7 +50,7 @@
   CHECK_FALSE(reading.reader.running());
 }
 
-TEST_CASE("A late page is asked for again; its first answer is taken, its second left alone") {
+TEST_CASE("A late page is requested again; its first answer is used, its second ignored") {
   Reading reading;
   const ServersRequest late = reading.Ask();
   reading.now += milliseconds(400);
@@ -58,11 +58,11 @@
   CHECK(again.after == late.after);
   CHECK(reading.reader.Take(PageFor(late, "i-3", true, 50), "relay") == Taken::kPage);
   CHECK(reading.reader.Take(PageFor(again, "i-3", true, 50), "relay") == Taken::kIgnored);
-  // As old as the first question: nothing says which of the two was answered.
+  // Dated by the first request, since the answer does not show which of the two it belongs to.
   CHECK(reading.reader.current_at() == kStart - milliseconds(40));
 }
 
-TEST_CASE("Pages of another relay, another era or an older state begin anew") {
+TEST_CASE("A page of another relay, another era or an older state causes a restart") {
   Reading reading;
   const ServersRequest first = reading.Ask();
   reading.reader.Take(PageFor(first, "i-3", true, 50), "relay");
@@ -77,7 +77,8 @@
   CHECK(reading.Ask().after.empty());
 }
 
-TEST_CASE("Who does not watch the store declines, and the next is asked from the beginning") {
+TEST_CASE(
+    "A relay that does not watch the store declines, and the next is asked from the first page") {
   Reading reading;
   const ServersRequest first = reading.Ask();
   reading.reader.Take(PageFor(first, "i-3", true, 50), "relay");
@@ -85,7 +86,7 @@
   ServersPage declined = PageFor(second, "", false, 0);
   declined.relays = false;
   CHECK(reading.reader.Take(declined, "relay") == Taken::kDeclined);
-  CHECK_FALSE(reading.reader.Due(reading.now));  // Not in a tight circle.
+  CHECK_FALSE(reading.reader.Due(reading.now));  // Not in a tight loop.
   reading.now += milliseconds(400);
   CHECK(reading.Ask().after.empty());
 }
