--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -119,7 +119,7 @@
   if (relay.empty()) return;
   const DemandReport report = ports_.ask();
   if (!report.question) return;
-  sources_.Asked(now);
+  sources_.RecordRequest(now);
   ports_.send(relay, report);
 }
 
@@ -127,10 +127,10 @@
   if (!sources_.Contains(from)) return false;
   const Time now = BootClock::now();
   if (!answer.relays) {
-    sources_.Declined(from, now);
+    sources_.RecordDecline(from, now);
     return true;
   }
-  sources_.Heard(from, std::chrono::microseconds(answer.age_us), now);
+  sources_.RecordAnswer(from, std::chrono::microseconds(answer.age_us), now);
   if (!answer.leader.empty()) {
     leader_told_ = answer.leader;
     leader_told_at_ = now;
@@ -156,15 +156,15 @@
 void RelayService::TakeServersPage(const ServersPage& page, const std::string& from) {
   if (!FromRelay(from)) return;
   switch (view_.TakePage(page, from)) {
-    case SnapshotReader::Taken::kIgnored:
+    case SnapshotReader::PageResult::kIgnored:
       return;
-    case SnapshotReader::Taken::kDeclined:
-      sources_.Declined(from, BootClock::now());
+    case SnapshotReader::PageResult::kDeclined:
+      sources_.RecordDecline(from, BootClock::now());
       return;
-    case SnapshotReader::Taken::kPage:
-    case SnapshotReader::Taken::kWhole:
+    case SnapshotReader::PageResult::kPage:
+    case SnapshotReader::PageResult::kLastPage:
       ++metrics_.servers_pages_taken;
-      sources_.Heard(from, std::chrono::microseconds(0), BootClock::now());
+      sources_.RecordAnswer(from, std::chrono::microseconds(0), BootClock::now());
       Pull();
       return;
   }
@@ -187,7 +187,7 @@
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
   if (const std::optional<ServersRequest> servers = view_.ServersQuestionDue()) {
-    sources_.Asked(now);
+    sources_.RecordRequest(now);
     ports_.send(relay, *servers);
   }
   if (const std::optional<ConfigurationRequest> text = view_.ConfigurationQuestionDue())
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -86,7 +86,7 @@
   /// Takes over what a relay has answered.
   /// @param from "IP:PORT" of the relay.
   /// @return whether it was a page that was asked for.
-  SnapshotReader::Taken TakePage(const ServersPage& page, const std::string& from);
+  SnapshotReader::PageResult TakePage(const ServersPage& page, const std::string& from);
 
  private:
   using Milliseconds = std::chrono::milliseconds;
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -74,10 +74,10 @@
   return page;
 }
 
-SnapshotReader::Taken StoreView::TakePage(const ServersPage& page, const std::string& from) {
-  using Taken = SnapshotReader::Taken;
-  const Taken taken = snapshot_.Take(page, from);
-  if (taken == Taken::kIgnored || taken == Taken::kDeclined) return taken;
+SnapshotReader::PageResult StoreView::TakePage(const ServersPage& page, const std::string& from) {
+  using PageResult = SnapshotReader::PageResult;
+  const PageResult taken = snapshot_.Take(page, from);
+  if (taken == PageResult::kIgnored || taken == PageResult::kDeclined) return taken;
   // What the page does not name between its first and its last server is not there any more.
   std::unordered_set<std::string> named;
   for (ServerChange server : page.servers) {
@@ -96,7 +96,7 @@
   const SteadyTime asked_at{std::chrono::microseconds(page.asked_at_us)};
   const std::chrono::microseconds age{std::max<std::int64_t>(0, page.age_us)};
   Decide(follow::ServersPageTaken{page.revision, newer, asked_at - age});
-  if (taken == Taken::kWhole) EndSnapshot();
+  if (taken == PageResult::kLastPage) EndSnapshot();
   return taken;
 }
 
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -21,14 +21,14 @@
 
 namespace {
 
-ServerChange Describe(const ChangeLog::Change& change, const RecordFinder& find_record) {
+ServerChange MakeServerChange(const ChangeLog::Change& change, const RecordFinder& find_record) {
   const ServerRecord* record = change.gone ? nullptr : find_record(change.server_id);
-  ServerChange told{change.revision, record == nullptr, {}};
+  ServerChange server_change{change.revision, record == nullptr, {}};
   if (record == nullptr)
-    told.record.id = change.server_id;
+    server_change.record.id = change.server_id;
   else
-    told.record = *record;
-  return told;
+    server_change.record = *record;
+  return server_change;
 }
 
 /// Removes trailing changes of revision `next`, so that no revision is included only in part: one
@@ -53,15 +53,15 @@
   if (answer.gap) return;
   std::size_t bytes = 0;
   for (const ChangeLog::Change& change : changes.Since(answer.from_revision)) {
-    ServerChange told = Describe(change, find_record);
-    bytes += EncodedBytes(told);
+    ServerChange server_change = MakeServerChange(change, find_record);
+    bytes += EncodedBytes(server_change);
     if (bytes > kMaxServersBytes) {
       DropPartialRevision(answer.servers, change.revision);
       answer.partial = parts && !answer.servers.empty();
       answer.gap = !answer.partial;
       break;
     }
-    answer.servers.push_back(std::move(told));
+    answer.servers.push_back(std::move(server_change));
   }
   if (answer.partial) {
     answer.to_revision = std::min(answer.to_revision, answer.servers.back().revision);
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -20,13 +20,13 @@
 }  // namespace
 
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationRequest& question) {
-  const std::size_t begin = question.part * kMaxPartBytes;
+                                        const ConfigurationRequest& request) {
+  const std::size_t begin = request.part * kMaxPartBytes;
   if (begin >= text.size()) return std::nullopt;
   ConfigurationPart part;
-  part.version = question.version;
-  part.part = question.part;
-  part.digest = DigestOf(text, question.version);
+  part.version = request.version;
+  part.part = request.part;
+  part.digest = DigestOf(text, request.version);
   part.revision = revision;
   part.bytes = text.substr(begin, kMaxPartBytes);
   part.more = begin + part.bytes.size() < text.size();
--- a/src/relay/configuration_reader.h
+++ b/src/relay/configuration_reader.h
@@ -12,7 +12,7 @@
 /// @return the requested part of the text; nullopt if there is no such part.
 /// @param revision of the store entry that holds this text.
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationRequest& question);
+                                        const ConfigurationRequest& request);
 
 /// Fetches the text of one configuration version from relays, part by part. Accepts only a complete
 /// text that matches the digest carried in each part. No I/O; not thread-safe.
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -13,22 +13,22 @@
   return std::max(kMinRateInterval, std::chrono::duration<double>(to - from)).count();
 }
 
-bool ShowsServers(ReadKind kind) {
+bool ReadsServers(ReadKind kind) {
   return kind != ReadKind::kConfiguration && kind != ReadKind::kAnnouncedConfiguration;
 }
-bool ShowsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
+bool ReadsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
 /// @return whether the answer holds the current state of servers rather than changes.
 bool ListsServers(ReadKind kind) {
   return kind == ReadKind::kListing || kind == ReadKind::kServers;
 }
 
-void Take(State& state, const ReadBegun& read, Time now) {
+void Apply(State& state, const ReadBegun& read, Time now) {
   state.reading_since = now;
   state.reading = read.kind;
   state.reading_all = ListsServers(read.kind) && (state.listed || state.begun);
   // This read covers everything that was announced before.
-  if (ShowsServers(read.kind)) state.urgent = false;
-  if (ShowsConfiguration(read.kind)) state.configuration_wanted = false;
+  if (ReadsServers(read.kind)) state.urgent = false;
+  if (ReadsConfiguration(read.kind)) state.configuration_wanted = false;
   if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.told;
 }
 
@@ -68,29 +68,29 @@
   state.split_reads = false;
 }
 
-void Take(const Settings& settings, State& state, const ReadEnded& read, Time now) {
+void Apply(const Settings& settings, State& state, const ReadEnded& read, Time now) {
   const Time since = state.reading_since.value_or(now);
-  if (ShowsServers(state.reading)) ApplyServers(state, read, since);
-  if (ShowsConfiguration(state.reading)) ApplyConfiguration(state, read, since);
+  if (ReadsServers(state.reading)) ApplyServers(state, read, since);
+  if (ReadsConfiguration(state.reading)) ApplyConfiguration(state, read, since);
   if (state.reading == ReadKind::kListing) state.listing_bytes = read.bytes;
   state.reading_since.reset();
   // The read that follows an outdated answer is not delayed as another urgent read.
   if (!read.outdated) state.urgent_read_not_before = now + settings.min_urgent_interval;
 }
 
-void Take(State& state, const ReadFailed& failure, Time now) {
+void Apply(State& state, const ReadFailed& failure, Time now) {
   const bool changes = state.reading == ReadKind::kChanges;
   state.reading_since.reset();
   state.retry_not_before = now + failure.pause;
-  if (ShowsServers(state.reading)) state.urgent = true;
-  if (ShowsConfiguration(state.reading)) state.configuration_wanted = true;
+  if (ReadsServers(state.reading)) state.urgent = true;
+  if (ReadsConfiguration(state.reading)) state.configuration_wanted = true;
   if (state.reading == ReadKind::kAnnouncedConfiguration) state.announced_missed = true;
   if (changes && (failure.unanswered || failure.history_gone)) state.changes_unavailable = true;
   if (state.reading == ReadKind::kListing && failure.unanswered) state.split_reads = true;
 }
 
 /// Changes since a revision of an earlier era cannot be requested from the store.
-void Take(State& state, const EraObserved& told) {
+void Apply(State& state, const EraObserved& told) {
   if (!state.listed || told.era <= state.revision.era) return;
   state.urgent = true;
   state.changes_unavailable = true;
@@ -112,7 +112,7 @@
 }
 
 /// @return whether to apply the changes.
-bool Take(State& state, const Relayed& answer, Time now) {
+bool Apply(State& state, const Relayed& answer, Time now) {
   if (!answer.retired && answer.to_revision.era < state.revision.era) return false;
   if (!answer.retired) {
     state.watcher_heard_at = now;
@@ -122,7 +122,7 @@
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (!state.listed || listing) return false;
   const bool other_era = answer.to_revision.era != state.revision.era;
-  if (!answer.retired && other_era) Take(state, EraObserved{answer.to_revision.era});
+  if (!answer.retired && other_era) Apply(state, EraObserved{answer.to_revision.era});
   const bool gap = answer.gap || other_era || answer.from_revision > state.revision;
   if (answer.retired || gap) {
     state.urgent = true;  // A read from the current revision returns the missing changes.
@@ -166,7 +166,7 @@
   state.servers_not_before = now + settings.listing_delay;
 }
 
-void Take(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
+void Apply(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
   if (relays.named && !state.relayed) {
     state.relays_known_since = now;
     AbandonListing(settings, state, now);
@@ -175,19 +175,19 @@
   if (!relays.named) state.servers_not_before = Time{};
 }
 
-void Take(State& state, const ServersPageTaken& page, Time now) {
+void Apply(State& state, const ServersPageTaken& page, Time now) {
   state.watcher_heard_at = now;
   if (page.revision.era != state.configuration_revision.era) return;
   ApplyConfigurationStatus(state, page.newer_configuration, page.revision, page.current_at, now);
 }
 
-void Take(State& state, const ConfigurationTaken&) {
+void Apply(State& state, const ConfigurationTaken&) {
   if (!state.told) return;
   state.configuration_wanted = false;
   ApplyAnnounced(state, *state.told);
 }
 
-void Take(State& state, const ServersTaken& taken) {
+void Apply(State& state, const ServersTaken& taken) {
   // A read of the store that finished meanwhile or is in progress has newer data.
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (listing || (state.listed && taken.revision < state.revision)) return;
@@ -199,7 +199,7 @@
   state.urgent = false;
 }
 
-Milliseconds LongestAge(const Settings& settings, const State& state) {
+Milliseconds MaxAge(const Settings& settings, const State& state) {
   return state.watches ? settings.max_watcher_age : settings.max_age;
 }
 
@@ -217,14 +217,14 @@
     return std::max(state.servers_not_before, earliest);
   }
   if (!state.listed) return Time{};
-  Time due = state.current_at + LongestAge(settings, state);
+  Time due = state.current_at + MaxAge(settings, state);
   if (MayUseRelays(state)) return std::max(due, heard + settings.relay_timeout);
   if (state.urgent) due = std::min(due, state.urgent_read_not_before);
   return due;
 }
 
 Time ConfigurationDue(const Settings& settings, const State& state) {
-  const Time due = state.configuration_at + LongestAge(settings, state);
+  const Time due = state.configuration_at + MaxAge(settings, state);
   if (!state.configuration_wanted) return due;
   const bool from_relay = WantsConfiguration(state);
   const Time earliest =
@@ -247,25 +247,25 @@
 Decision Reduce(const Settings& settings, State state, const Event& event, Time now) {
   Decision decision{state, false};
   if (const auto* begun = std::get_if<ReadBegun>(&event))
-    Take(decision.state, *begun, now);
+    Apply(decision.state, *begun, now);
   else if (const auto* ended = std::get_if<ReadEnded>(&event))
-    Take(settings, decision.state, *ended, now);
+    Apply(settings, decision.state, *ended, now);
   else if (const auto* failed = std::get_if<ReadFailed>(&event))
-    Take(decision.state, *failed, now);
+    Apply(decision.state, *failed, now);
   else if (const auto* relayed = std::get_if<Relayed>(&event))
-    decision.apply = Take(decision.state, *relayed, now);
+    decision.apply = Apply(decision.state, *relayed, now);
   else if (const auto* told = std::get_if<EraObserved>(&event))
-    Take(decision.state, *told);
+    Apply(decision.state, *told);
   else if (const auto* page = std::get_if<FirstPageEnded>(&event))
     ApplyFirstPage(settings, decision.state, *page, now);
   else if (const auto* relays = std::get_if<RelaysChanged>(&event))
-    Take(settings, decision.state, *relays, now);
+    Apply(settings, decision.state, *relays, now);
   else if (const auto* servers = std::get_if<ServersPageTaken>(&event))
-    Take(decision.state, *servers, now);
+    Apply(decision.state, *servers, now);
   else if (const auto* configuration = std::get_if<ConfigurationTaken>(&event))
-    Take(decision.state, *configuration);
+    Apply(decision.state, *configuration);
   else if (const auto* taken = std::get_if<ServersTaken>(&event))
-    Take(decision.state, *taken);
+    Apply(decision.state, *taken);
   else
     decision.state.watches = std::get<RoleChanged>(event).watches;
   return decision;
@@ -275,8 +275,8 @@
   if (state.reading_since) return Time::max();
   // The clock counts from machine start, so its value may be less than the maximum age.
   if (!state.listed && !state.begun) return state.retry_not_before;
-  const bool other_half = state.split_reads && state.configuration_wanted;
-  if (other_half) return state.retry_not_before;
+  const bool configuration_read_pending = state.split_reads && state.configuration_wanted;
+  if (configuration_read_pending) return state.retry_not_before;
   const Time due = std::min(ServersDue(settings, state), ConfigurationDue(settings, state));
   return std::max(due, state.retry_not_before);
 }
@@ -284,8 +284,9 @@
 Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now) {
   const bool heard = now - state.watcher_heard_at < settings.watcher_timeout;
   const bool watcher_behind = now - state.watcher_current_at > settings.max_age;
-  const bool together = !state.watches && heard && watcher_behind;
-  return together ? std::max(settings.max_retry_delay, settings.max_age) : settings.max_retry_delay;
+  const bool store_unreachable_for_all = !state.watches && heard && watcher_behind;
+  return store_unreachable_for_all ? std::max(settings.max_retry_delay, settings.max_age)
+                                   : settings.max_retry_delay;
 }
 
 bool WantsServers(const State& state) {
@@ -296,9 +297,10 @@
 
 ReadKind NextReadKind(const Settings& settings, const State& state, Time now) {
   // Alternates between the two reads; continuous server changes would starve the configuration.
-  const bool other_half = state.split_reads && state.configuration_wanted;
-  if (other_half && state.configuration_at < state.current_at) return ReadKind::kConfiguration;
-  const bool old = now >= state.current_at + LongestAge(settings, state);
+  const bool configuration_read_pending = state.split_reads && state.configuration_wanted;
+  if (configuration_read_pending && state.configuration_at < state.current_at)
+    return ReadKind::kConfiguration;
+  const bool old = now >= state.current_at + MaxAge(settings, state);
   const bool servers = MayUseRelays(state) ? now >= ServersDue(settings, state)
                                            : !state.listed || state.urgent || old;
   const bool told = state.told && state.told->revision > state.configuration_revision;
--- a/src/relay/relay_sources.cc
+++ b/src/relay/relay_sources.cc
@@ -64,51 +64,51 @@
 void RelaySources::SetPlan(const RelayPlan& plan, Time now) {
   const std::string before = Current(now);
   relay_ = plan.Names(address_);
-  order_.clear();
+  candidates_.clear();
   for (const ZoneRelays& zone : plan.zones) {
     const auto self = std::find(zone.relays.begin(), zone.relays.end(), address_);
     if (self != zone.relays.end())
-      order_.assign(zone.relays.begin(), self + 1);
+      candidates_.assign(zone.relays.begin(), self + 1);
     else if (zone.zone == zone_)
-      order_ = SourcesOf(zone);
+      candidates_ = SourcesOf(zone);
   }
-  own_zone_ = order_.size();
-  const std::vector<std::string> beyond = OtherZoneSources(plan);
-  order_.insert(order_.end(), beyond.begin(), beyond.end());
-  const auto same = std::find(order_.begin(), order_.end(), before);
-  const bool stays = !relay_ && same != order_.end();
-  current_ = stays ? static_cast<std::size_t>(same - order_.begin()) : 0;
-  if (!stays) silent_since_ = {};
+  own_zone_count_ = candidates_.size();
+  const std::vector<std::string> other_zones = OtherZoneSources(plan);
+  candidates_.insert(candidates_.end(), other_zones.begin(), other_zones.end());
+  const auto same = std::find(candidates_.begin(), candidates_.end(), before);
+  const bool keeps_current = !relay_ && same != candidates_.end();
+  current_ = keeps_current ? static_cast<std::size_t>(same - candidates_.begin()) : 0;
+  if (!keeps_current) silent_since_ = {};
 }
 
 bool RelaySources::Contains(const std::string& address) const {
-  return std::find(order_.begin(), order_.end(), address) != order_.end();
+  return std::find(candidates_.begin(), candidates_.end(), address) != candidates_.end();
 }
 
-void RelaySources::Next(Time now) {
+void RelaySources::SelectNext(Time now) {
   silent_since_ = {};
   declined_since_ = {};
   retry_own_zone_at_ = now + kOwnZoneRetryInterval;
-  current_ = (current_ + 1) % order_.size();
+  current_ = (current_ + 1) % candidates_.size();
 }
 
 void RelaySources::UpdateCurrent(Time now) {
-  if (order_.empty()) return;
+  if (candidates_.empty()) return;
   const milliseconds usual = previous_relay_silent_ ? kShortSilenceTimeout : kSilenceTimeout;
   const milliseconds timeout = learning_ ? kInitialSilenceTimeout : usual;
   const bool silent = silent_since_ != Time{} && now - silent_since_ >= timeout;
   if (silent) {
-    Next(now);
+    SelectNext(now);
     previous_relay_silent_ = true;
   }
-  if (current_ < own_zone_ || own_zone_ == 0 || now < retry_own_zone_at_) return;
+  if (current_ < own_zone_count_ || own_zone_count_ == 0 || now < retry_own_zone_at_) return;
   current_ = 0;
   silent_since_ = {};
 }
 
 std::string RelaySources::Current(Time now) {
   UpdateCurrent(now);
-  return order_.empty() || AtOwnPosition() ? std::string() : order_[current_];
+  return candidates_.empty() || AtOwnPosition() ? std::string() : candidates_[current_];
 }
 
 bool RelaySources::Watches(Time now) {
@@ -116,16 +116,16 @@
   return AtOwnPosition();
 }
 
-void RelaySources::Asked(Time now) {
+void RelaySources::RecordRequest(Time now) {
   if (silent_since_ == Time{}) silent_since_ = now;
 }
 
-void RelaySources::Heard(const std::string& from, std::chrono::microseconds age, Time now) {
-  if (order_.empty() || order_[current_] != from) return;
+void RelaySources::RecordAnswer(const std::string& from, std::chrono::microseconds age, Time now) {
+  if (candidates_.empty() || candidates_[current_] != from) return;
   silent_since_ = {};
   declined_since_ = {};
   previous_relay_silent_ = false;
-  if (age > kMaxRelayAge) Next(now);
+  if (age > kMaxRelayAge) SelectNext(now);
 }
 
 void RelaySources::RecordOwnReads(bool fail, Time now) {
@@ -135,11 +135,11 @@
     return;
   }
   if (failing_since_ == Time{}) failing_since_ = now;
-  if (now - failing_since_ >= kSilenceTimeout) Next(now);
+  if (now - failing_since_ >= kSilenceTimeout) SelectNext(now);
 }
 
-void RelaySources::Declined(const std::string& from, Time now) {
-  if (order_.empty() || order_[current_] != from) return;
+void RelaySources::RecordDecline(const std::string& from, Time now) {
+  if (candidates_.empty() || candidates_[current_] != from) return;
   if (declined_since_ == Time{}) declined_since_ = now;
   // The relay is alive, but this daemon's data keeps aging, so the timeout resets only for a daemon
   // without data.
--- a/src/relay/relay_sources.h
+++ b/src/relay/relay_sources.h
@@ -32,33 +32,33 @@
   /// have to read the store first.
   void SetLearning(bool learning) { learning_ = learning; }
   /// Records that a request was sent to the current relay.
-  void Asked(Time now);
+  void RecordRequest(Time now);
   /// Records an answer of a relay.
   /// @param age age of its data. If too high, as when the store refuses the relay's reads, this
   /// daemon switches to another relay.
-  void Heard(const std::string& from, std::chrono::microseconds age, Time now);
+  void RecordAnswer(const std::string& from, std::chrono::microseconds age, Time now);
   /// Records whether this daemon's reads of the store fail. A relay whose reads keep failing asks
   /// other relays. One whose reads are only slow continues; otherwise no relay might be left that
   /// reads the store.
   void RecordOwnReads(bool fail, Time now);
   /// Records that a relay declined because its own data is incomplete, as after its start.
-  void Declined(const std::string& from, Time now);
+  void RecordDecline(const std::string& from, Time now);
   bool Contains(const std::string& address) const;
 
  private:
-  void Next(Time now);
+  void SelectNext(Time now);
   void UpdateCurrent(Time now);
   /// @return the relays of a zone to ask, in order of preference.
   std::vector<std::string> SourcesOf(const ZoneRelays& zone) const;
   /// @return relays of the other zones, interleaved by zone.
   std::vector<std::string> OtherZoneSources(const RelayPlan& plan) const;
-  bool AtOwnPosition() const { return !order_.empty() && order_[current_] == address_; }
+  bool AtOwnPosition() const { return !candidates_.empty() && candidates_[current_] == address_; }
 
   std::string address_;
   ZoneId zone_;
-  std::vector<std::string> order_;
-  bool relay_ = false;        ///< If true, `order_` contains this daemon itself.
-  std::size_t own_zone_ = 0;  ///< Number of leading entries of `order_` in the own zone.
+  std::vector<std::string> candidates_;
+  bool relay_ = false;              ///< If true, `candidates_` contains this daemon itself.
+  std::size_t own_zone_count_ = 0;  ///< Number of leading entries of `candidates_` in the own zone.
   std::size_t current_ = 0;
   bool learning_ = false;
   Time failing_since_{};                ///< Start of own read failures; zero: none.
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -28,21 +28,21 @@
   return from == relay_ && page.revision.era == revision_.era && page.revision >= revision_;
 }
 
-SnapshotReader::Taken SnapshotReader::Take(const ServersPage& page, const std::string& from) {
+SnapshotReader::PageResult SnapshotReader::Take(const ServersPage& page, const std::string& from) {
   const bool asked = running_ && asked_at_us_ == page.asked_at_us && page.after == after_;
-  if (!asked) return Taken::kIgnored;
+  if (!asked) return PageResult::kIgnored;
   if (!page.relays) {
     // Restarts from the first page after the retry interval: another relay may answer then.
     const Time sent_at = sent_at_;
     Begin();
     sent_at_ = sent_at;
     declined_ = true;
-    return Taken::kDeclined;
+    return PageResult::kDeclined;
   }
   const bool endless = page.more && page.last <= page.after;
   if (endless || !Continues(page, from)) {
     Begin();
-    return Taken::kIgnored;
+    return PageResult::kIgnored;
   }
   if (relay_.empty()) {
     relay_ = from;
@@ -54,10 +54,10 @@
   declined_ = false;
   if (!page.more) {
     running_ = false;
-    return Taken::kWhole;
+    return PageResult::kLastPage;
   }
   after_ = page.last;
-  return Taken::kPage;
+  return PageResult::kPage;
 }
 
 }  // namespace moorfold
--- a/src/relay/snapshot_reader.h
+++ b/src/relay/snapshot_reader.h
@@ -16,11 +16,11 @@
  public:
   using Time = BootClock::time_point;
 
-  enum class Taken {
+  enum class PageResult {
     kIgnored,   ///< Not the requested page: the caller must discard it.
     kDeclined,  ///< The relay does not have all servers itself.
     kPage,      ///< The caller must apply the page; more follow.
-    kWhole      ///< The caller must apply the page; it is the last.
+    kLastPage   ///< The caller must apply the page; it is the last.
   };
 
   void Begin() {
@@ -33,7 +33,7 @@
   /// @return the request to send now, if any.
   std::optional<ServersRequest> Due(Time now);
   /// @param from "IP:PORT" of the sender.
-  Taken Take(const ServersPage& page, const std::string& from);
+  PageResult Take(const ServersPage& page, const std::string& from);
 
   /// Revision of the first page. After the last page, all changes up to it are known.
   StoreRevision revision() const { return revision_; }
--- a/test/relay/configuration_reader_test.cc
+++ b/test/relay/configuration_reader_test.cc
@@ -20,9 +20,9 @@
   Reading() { reader.Want(kVersion); }
   /// Sends one request and takes the answer of a relay that has `text`.
   std::optional<ConfigurationReader::Text> Exchange(const std::string& text) {
-    const std::optional<ConfigurationRequest> question = reader.Due(now);
-    REQUIRE(question);
-    const std::optional<ConfigurationPart> part = PartOf(text, kRevision, *question);
+    const std::optional<ConfigurationRequest> request = reader.Due(now);
+    REQUIRE(request);
+    const std::optional<ConfigurationPart> part = PartOf(text, kRevision, *request);
     REQUIRE(part);
     CHECK(EncodeMessage(FleetMessage(*part)).size() < 8'000);
     return reader.Take(*part);
@@ -52,8 +52,8 @@
 
 TEST_CASE("A text that does not match its digest is rejected") {
   Reading reading;
-  const std::optional<ConfigurationRequest> question = reading.reader.Due(reading.now);
-  std::optional<ConfigurationPart> part = PartOf("{}", kRevision, *question);
+  const std::optional<ConfigurationRequest> request = reading.reader.Due(reading.now);
+  std::optional<ConfigurationPart> part = PartOf("{}", kRevision, *request);
   REQUIRE(part);
   CHECK_FALSE(part->more);
   part->bytes = "[]";
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -251,12 +251,12 @@
       daemon.snapshot.Begin();
       daemon.page = 0;
     }
-    const std::optional<ServersRequest> question = daemon.snapshot.Due(now);
+    const std::optional<ServersRequest> request = daemon.snapshot.Due(now);
     Daemon* relay = Find(daemon.sources->Current(now));
-    if (!question || relay == nullptr) return;
-    daemon.sources->Asked(now);
+    if (!request || relay == nullptr) return;
+    daemon.sources->RecordRequest(now);
     Send(daemon, *relay, kDatagramBytes,
-         [this, &daemon, relay, asked = *question] { AnswerPage(daemon, *relay, asked); });
+         [this, &daemon, relay, asked = *request] { AnswerPage(daemon, *relay, asked); });
     At(now + milliseconds(300), [this, &daemon] { Pull(daemon); });
   }
   void AnswerPage(Daemon& daemon, Daemon& relay, const ServersRequest& asked) {
@@ -273,21 +273,21 @@
     page.more = daemon.page * kServersPerDatagram < servers;
     page.last = asked.after + "x";
     switch (daemon.snapshot.Take(page, relay.address)) {
-      case SnapshotReader::Taken::kIgnored:
+      case SnapshotReader::PageResult::kIgnored:
         return;
-      case SnapshotReader::Taken::kDeclined:
-        daemon.sources->Declined(relay.address, now);
+      case SnapshotReader::PageResult::kDeclined:
+        daemon.sources->RecordDecline(relay.address, now);
         return;
-      case SnapshotReader::Taken::kWhole:
+      case SnapshotReader::PageResult::kLastPage:
         Decide(daemon,
                follow::ServersTaken{daemon.snapshot.revision(), daemon.snapshot.current_at()});
         ReadWhenDue(daemon);
         break;
-      case SnapshotReader::Taken::kPage:
+      case SnapshotReader::PageResult::kPage:
         Decide(daemon, follow::ServersPageTaken{page.revision, false, relay.state.current_at});
         break;
     }
-    daemon.sources->Heard(relay.address, std::chrono::microseconds(0), now);
+    daemon.sources->RecordAnswer(relay.address, std::chrono::microseconds(0), now);
     daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakCoreShare);
     At(daemon.busy_until, [this, &daemon] { Pull(daemon); });
   }
@@ -308,17 +308,17 @@
     if (daemon.state.watches || !daemon.state.listed) return;
     Daemon* relay = Find(daemon.sources->Current(now));
     if (relay == nullptr) return;
-    daemon.sources->Asked(now);
+    daemon.sources->RecordRequest(now);
     const Time asked_at = now;
     const StoreRevision known = daemon.state.revision;
     Send(daemon, *relay, 500, [this, &daemon, relay, asked_at, known] {
       if (!relay->state.listed || !relay->state.ConfigurationIsCurrent()) {
-        daemon.sources->Declined(relay->address, now);
+        daemon.sources->RecordDecline(relay->address, now);
         return;
       }
       const auto age = now - std::min(relay->state.current_at, relay->state.configuration_at);
-      daemon.sources->Heard(relay->address,
-                            std::chrono::duration_cast<std::chrono::microseconds>(age), now);
+      daemon.sources->RecordAnswer(relay->address,
+                                   std::chrono::duration_cast<std::chrono::microseconds>(age), now);
       const Time current_at = asked_at - age;
       follow::Relayed answer{false, false, known, relay->state.revision, false, current_at};
       Decide(daemon, answer);
--- a/test/relay/follow_state_test.cc
+++ b/test/relay/follow_state_test.cc
@@ -42,7 +42,7 @@
 TEST_CASE("While a watcher answers, a follower does not read the store") {
   State state = Listed(7);
   Time now = kStart;
-  for (int question = 0; question < 50; ++question) {
+  for (int request = 0; request < 50; ++request) {
     now += milliseconds(500);
     const Decision decision =
         Reduce(kSettings, state,
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -81,9 +81,9 @@
   /// Sends one request to the watcher and takes its answer.
   /// @param parts whether the follower accepts partial answers.
   ChangeAnswer Exchange(bool parts = false) {
-    const std::optional<ChangeRequest> question = follower.store_view.Question();
-    REQUIRE(question);
-    ChangeAnswer answer = watcher.store_view.Answer(*question, 20, parts);
+    const std::optional<ChangeRequest> request = follower.store_view.Question();
+    REQUIRE(request);
+    ChangeAnswer answer = watcher.store_view.Answer(*request, 20, parts);
     follower.store_view.TakeAnswer(answer);
     return answer;
   }
--- a/test/relay/relay_plan_test.cc
+++ b/test/relay/relay_plan_test.cc
@@ -162,7 +162,7 @@
   RelaySources sources = SourcesFor("10.0.0.1:1");
   CHECK(sources.Current(kStart) == "10.0.0.9:1");
   CHECK_FALSE(sources.Watches(kStart));
-  sources.Asked(kStart);
+  sources.RecordRequest(kStart);
   CHECK(sources.Watches(kStart + seconds(1)));
   CHECK(sources.Current(kStart + seconds(1)).empty());
   sources.RecordOwnReads(true, kStart + seconds(2));
@@ -187,14 +187,14 @@
   Time now = kStart;
   for (const milliseconds patience : {milliseconds(800), milliseconds(300), milliseconds(300)}) {
     asked.push_back(sources.Current(now));
-    sources.Asked(now);
+    sources.RecordRequest(now);
     CHECK(sources.Current(now + patience) == asked.back());
     now += patience + milliseconds(150);
   }
   CHECK(asked[1].starts_with("10.0."));
   CHECK(asked[2].starts_with("10.1."));
   CHECK(std::set<std::string>(asked.begin(), asked.end()).size() == 3);
-  sources.Heard(sources.Current(now), milliseconds(300), now);
+  sources.RecordAnswer(sources.Current(now), milliseconds(300), now);
   CHECK(sources.Current(now + seconds(2)).starts_with("10.1."));
   CHECK(sources.Current(now + seconds(6)).starts_with("10.0."));
 }
@@ -206,22 +206,22 @@
   for (int tenth = 0; tenth < 50; ++tenth) {
     const Time now = kStart + milliseconds(100 * tenth);
     REQUIRE(sources.Current(now) == first);
-    sources.Asked(now);
-    sources.Declined(first, now);
+    sources.RecordRequest(now);
+    sources.RecordDecline(first, now);
   }
   sources.SetLearning(false);
-  sources.Asked(kStart + seconds(5));
-  sources.Declined(first, kStart + seconds(5));
+  sources.RecordRequest(kStart + seconds(5));
+  sources.RecordDecline(first, kStart + seconds(5));
   CHECK(sources.Current(kStart + seconds(6)) != first);
 }
 
 TEST_CASE("A relay with old data is replaced by another") {
   RelaySources sources = SourcesFor("10.0.1.1:1");
   const std::string behind = sources.Current(kStart);
-  sources.Asked(kStart);
-  sources.Heard(behind, milliseconds(700), kStart);
+  sources.RecordRequest(kStart);
+  sources.RecordAnswer(behind, milliseconds(700), kStart);
   CHECK(sources.Current(kStart) == behind);
-  sources.Heard(behind, milliseconds(2'500), kStart);
+  sources.RecordAnswer(behind, milliseconds(2'500), kStart);
   CHECK(sources.Current(kStart) != behind);
 }
 
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -42,9 +42,9 @@
   /// Exchanges pages until the daemon has all servers. @return the number of pages.
   int TakeAllPages() {
     int pages = 0;
-    while (const std::optional<ServersRequest> question =
+    while (const std::optional<ServersRequest> request =
                starting->store_view.ServersQuestionDue()) {
-      const ServersPage page = relay.store_view.Page(*question);
+      const ServersPage page = relay.store_view.Page(*request);
       CHECK(EncodeMessage(FleetMessage(page)).size() < 8'000);
       starting->store_view.TakePage(page, "relay");
       ++pages;
@@ -52,9 +52,9 @@
     return pages;
   }
   ChangeAnswer Exchange() {
-    const std::optional<ChangeRequest> question = starting->store_view.Question();
-    REQUIRE(question);
-    ChangeAnswer answer = relay.store_view.Answer(*question, 1'000, true);
+    const std::optional<ChangeRequest> request = starting->store_view.Question();
+    REQUIRE(request);
+    ChangeAnswer answer = relay.store_view.Answer(*request, 1'000, true);
     starting->store_view.TakeAnswer(answer);
     return answer;
   }
@@ -127,12 +127,13 @@
 TEST_CASE("A relay that has not read the store itself declines") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersRequest> question = fleet.starting->store_view.ServersQuestionDue();
-  REQUIRE(question);
+  const std::optional<ServersRequest> request = fleet.starting->store_view.ServersQuestionDue();
+  REQUIRE(request);
   Member another(fleet.context, fleet.table, std::chrono::hours(1), kPageEntries);
-  const ServersPage page = another.store_view.Page(*question);
+  const ServersPage page = another.store_view.Page(*request);
   CHECK_FALSE(page.relays);
-  CHECK(fleet.starting->store_view.TakePage(page, "relay") == SnapshotReader::Taken::kDeclined);
+  CHECK(fleet.starting->store_view.TakePage(page, "relay") ==
+        SnapshotReader::PageResult::kDeclined);
   CHECK(fleet.starting->store_view.WaitsForServers());
 }
 
@@ -187,9 +188,9 @@
   fleet.WaitForWatcher();
   fleet.Exchange();
   CHECK(fleet.starting->Version() == 3);
-  const auto question = fleet.starting->store_view.ConfigurationQuestionDue();
-  REQUIRE(question);
-  const std::optional<ConfigurationPart> part = fleet.relay.store_view.Part(*question);
+  const auto request = fleet.starting->store_view.ConfigurationQuestionDue();
+  REQUIRE(request);
+  const std::optional<ConfigurationPart> part = fleet.relay.store_view.Part(*request);
   REQUIRE(part);
   fleet.starting->store_view.TakePart(*part);
   CHECK(fleet.starting->Version() == 9);
--- a/test/relay/snapshot_reader_test.cc
+++ b/test/relay/snapshot_reader_test.cc
@@ -6,16 +6,16 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Taken = SnapshotReader::Taken;
+using PageResult = SnapshotReader::PageResult;
 using Time = SnapshotReader::Time;
 
 constexpr Time kStart{std::chrono::seconds(1'000)};
 
-ServersPage PageFor(const ServersRequest& question, const std::string& last, bool more,
+ServersPage PageFor(const ServersRequest& request, const std::string& last, bool more,
                     std::int64_t revision) {
   ServersPage page;
-  page.asked_at_us = question.asked_at_us;
-  page.after = question.after;
+  page.asked_at_us = request.asked_at_us;
+  page.after = request.after;
   page.relays = true;
   page.last = last;
   page.more = more;
@@ -27,9 +27,9 @@
 struct Reading {
   Reading() { reader.Begin(); }
   ServersRequest Ask() {
-    const std::optional<ServersRequest> question = reader.Due(now);
-    REQUIRE(question);
-    return *question;
+    const std::optional<ServersRequest> request = reader.Due(now);
+    REQUIRE(request);
+    return *request;
   }
   SnapshotReader reader;
   Time now = kStart;
@@ -40,11 +40,11 @@
   const ServersRequest first = reading.Ask();
   CHECK(first.after.empty());
   CHECK_FALSE(reading.reader.Due(reading.now));  // A request is outstanding.
-  CHECK(reading.reader.Take(PageFor(first, "i-3", true, 50), "relay") == Taken::kPage);
+  CHECK(reading.reader.Take(PageFor(first, "i-3", true, 50), "relay") == PageResult::kPage);
   reading.now += milliseconds(5);
   const ServersRequest second = reading.Ask();
   CHECK(second.after == "i-3");
-  CHECK(reading.reader.Take(PageFor(second, "i-6", false, 57), "relay") == Taken::kWhole);
+  CHECK(reading.reader.Take(PageFor(second, "i-6", false, 57), "relay") == PageResult::kLastPage);
   CHECK(reading.reader.revision() == StoreRevision{0, 50});
   CHECK(reading.reader.current_at() == kStart - milliseconds(40));
   CHECK_FALSE(reading.reader.running());
@@ -56,8 +56,8 @@
   reading.now += milliseconds(400);
   const ServersRequest again = reading.Ask();
   CHECK(again.after == late.after);
-  CHECK(reading.reader.Take(PageFor(late, "i-3", true, 50), "relay") == Taken::kPage);
-  CHECK(reading.reader.Take(PageFor(again, "i-3", true, 50), "relay") == Taken::kIgnored);
+  CHECK(reading.reader.Take(PageFor(late, "i-3", true, 50), "relay") == PageResult::kPage);
+  CHECK(reading.reader.Take(PageFor(again, "i-3", true, 50), "relay") == PageResult::kIgnored);
   // Dated by the first request, since the answer does not show which of the two it belongs to.
   CHECK(reading.reader.current_at() == kStart - milliseconds(40));
 }
@@ -73,7 +73,7 @@
   SECTION("era") { page.revision.era = 1; }
   SECTION("state") { page.revision.number = 49; }
   SECTION("a page without end") { page.last = page.after; }
-  CHECK(reading.reader.Take(page, from) == Taken::kIgnored);
+  CHECK(reading.reader.Take(page, from) == PageResult::kIgnored);
   CHECK(reading.Ask().after.empty());
 }
 
@@ -85,7 +85,7 @@
   const ServersRequest second = reading.Ask();
   ServersPage declined = PageFor(second, "", false, 0);
   declined.relays = false;
-  CHECK(reading.reader.Take(declined, "relay") == Taken::kDeclined);
+  CHECK(reading.reader.Take(declined, "relay") == PageResult::kDeclined);
   CHECK_FALSE(reading.reader.Due(reading.now));  // Not in a tight loop.
   reading.now += milliseconds(400);
   CHECK(reading.Ask().after.empty());
