--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -122,7 +122,7 @@
   Decide(follow::ReadBegun{kind});
   switch (kind) {
     case follow::ReadKind::kListing:
-      if (state_.listed || state_.begun)
+      if (state_.listed || state_.first_page_applied)
         ReadRange(AllKeys(), &StoreView::TakeListing);
       else
         ReadFirstPage();
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -64,7 +64,7 @@
   /// Whether there are relays for this daemon to ask; nothing is known of that before.
   void SetRelays(bool named);
   /// @return whether the store holds more servers than one page, and none are known of yet.
-  bool WaitsForServers() const { return state_.begun && !state_.listed; }
+  bool WaitsForServers() const { return state_.first_page_applied && !state_.listed; }
   /// @return the question to a relay that is to be sent now, where all servers are to be taken from
   /// one.
   std::optional<ServersRequest> ServersQuestionDue();
@@ -93,7 +93,8 @@
 
   /// @return whether others may rely on what is known here.
   bool Serves() const {
-    const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationIsCurrent();
+    const bool whole =
+        state_.listed && !state_.partially_updated && state_.ConfigurationIsCurrent();
     return whole && (state_.watches || serves_);
   }
   /// @return whether relayed changes are to be taken over.
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -25,11 +25,11 @@
 void Apply(State& state, const ReadBegun& read, Time now) {
   state.reading_since = now;
   state.reading = read.kind;
-  state.reading_all = ListsServers(read.kind) && (state.listed || state.begun);
+  state.listing_all_pages = ListsServers(read.kind) && (state.listed || state.first_page_applied);
   // This read covers everything that was announced before.
   if (ReadsServers(read.kind)) state.urgent = false;
   if (ReadsConfiguration(read.kind)) state.configuration_wanted = false;
-  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.told;
+  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.announced;
 }
 
 void ApplyServers(State& state, const ReadEnded& read, Time since) {
@@ -39,14 +39,14 @@
   // A listing is complete, so it replaces the previous revision even if that was higher.
   state.revision = lists ? read.revision : std::max(state.revision, read.revision);
   state.listed = state.listed || lists;
-  state.in_parts = false;
+  state.partially_updated = false;
   state.current_at = std::max(state.current_at, since);
   state.changes_unavailable = false;
 }
 
-void ApplyAnnounced(State& state, const AnnouncedConfiguration& told) {
-  state.configuration_revision = std::max(state.configuration_revision, told.revision);
-  state.configuration_at = std::max(state.configuration_at, told.current_at);
+void ApplyAnnounced(State& state, const AnnouncedConfiguration& announced) {
+  state.configuration_revision = std::max(state.configuration_revision, announced.revision);
+  state.configuration_at = std::max(state.configuration_at, announced.current_at);
 }
 
 void ApplyAnnounced(State& state, const ReadEnded& read) {
@@ -90,8 +90,8 @@
 }
 
 /// Changes since a revision of an earlier era cannot be requested from the store.
-void Apply(State& state, const EraObserved& told) {
-  if (!state.listed || told.era <= state.revision.era) return;
+void Apply(State& state, const EraObserved& observed) {
+  if (!state.listed || observed.era <= state.revision.era) return;
   state.urgent = true;
   state.changes_unavailable = true;
 }
@@ -101,11 +101,11 @@
   if (newer) {
     if (!state.configuration_wanted) state.configuration_wanted_since = now;
     state.configuration_wanted = true;
-    state.told = AnnouncedConfiguration{revision, at};
+    state.announced = AnnouncedConfiguration{revision, at};
     return;
   }
   // A later answer that overtook this one may already have announced a newer configuration.
-  const bool newest = !state.told || state.told->revision <= revision;
+  const bool newest = !state.announced || state.announced->revision <= revision;
   if (newest && at > state.configuration_at) state.configuration_wanted = false;
   state.configuration_revision = std::max(state.configuration_revision, revision);
   state.configuration_at = std::max(state.configuration_at, at);
@@ -132,13 +132,14 @@
   // confirmed completeness since the requested revision only, not since one read in the meantime.
   const bool read_meanwhile =
       answer.from_revision < state.revision && answer.to_revision > state.revision;
-  if (read_meanwhile || (state.in_parts && answer.from_revision < state.revision)) return false;
+  if (read_meanwhile || (state.partially_updated && answer.from_revision < state.revision))
+    return false;
   ApplyConfigurationStatus(state, answer.newer_configuration, answer.to_revision, answer.current_at,
                            now);
   const bool apply = answer.to_revision > state.revision;
   state.revision = std::max(state.revision, answer.to_revision);
   // The missing changes may be as old as those in this part.
-  state.in_parts = answer.partial;
+  state.partially_updated = answer.partial;
   if (answer.partial) return apply;
   // The data is now complete as of a later time than before.
   if (answer.current_at > state.current_at) state.urgent = false;
@@ -149,7 +150,7 @@
 void ApplyFirstPage(const Settings& settings, State& state, const FirstPageEnded& page, Time now) {
   const Time since = state.reading_since.value_or(now);
   state.reading_since.reset();
-  state.begun = true;
+  state.first_page_applied = true;
   state.servers_not_before = now + settings.listing_delay;
   state.configuration_revision = std::max(state.configuration_revision, page.revision);
   state.configuration_at = std::max(state.configuration_at, since);
@@ -159,10 +160,10 @@
 /// every daemon of a large fleet finished its listing, the store would be busy for longer than a
 /// leader's lease, and the listings of the relays would queue behind the others.
 void AbandonListing(const Settings& settings, State& state, Time now) {
-  if (!state.reading_since || !state.reading_all || state.watches) return;
+  if (!state.reading_since || !state.listing_all_pages || state.watches) return;
   state.reading_since.reset();
   state.listed = false;
-  state.begun = true;
+  state.first_page_applied = true;
   state.servers_not_before = now + settings.listing_delay;
 }
 
@@ -182,9 +183,9 @@
 }
 
 void Apply(State& state, const ConfigurationTaken&) {
-  if (!state.told) return;
+  if (!state.announced) return;
   state.configuration_wanted = false;
-  ApplyAnnounced(state, *state.told);
+  ApplyAnnounced(state, *state.announced);
 }
 
 void Apply(State& state, const ServersTaken& taken) {
@@ -192,7 +193,7 @@
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (listing || (state.listed && taken.revision < state.revision)) return;
   state.listed = true;
-  state.in_parts = false;
+  state.partially_updated = false;
   state.revision = taken.revision;
   state.current_at = std::max(state.current_at, taken.current_at);
   state.changes_unavailable = false;
@@ -206,7 +207,7 @@
 /// @return whether servers come from relays, or may do so once relays are named.
 bool MayUseRelays(const State& state) {
   if (state.watches) return false;
-  return state.relayed || (state.begun && !state.listed);
+  return state.relayed || (state.first_page_applied && !state.listed);
 }
 
 /// @return when to read servers from the store.
@@ -241,21 +242,21 @@
 
 bool WantsConfiguration(const State& state) {
   if (!state.relayed || state.watches || !state.configuration_wanted) return false;
-  return state.told && state.told->revision > state.configuration_revision;
+  return state.announced && state.announced->revision > state.configuration_revision;
 }
 
 Decision Reduce(const Settings& settings, State state, const Event& event, Time now) {
   Decision decision{state, false};
-  if (const auto* begun = std::get_if<ReadBegun>(&event))
-    Apply(decision.state, *begun, now);
+  if (const auto* read_begun = std::get_if<ReadBegun>(&event))
+    Apply(decision.state, *read_begun, now);
   else if (const auto* ended = std::get_if<ReadEnded>(&event))
     Apply(settings, decision.state, *ended, now);
   else if (const auto* failed = std::get_if<ReadFailed>(&event))
     Apply(decision.state, *failed, now);
   else if (const auto* relayed = std::get_if<Relayed>(&event))
     decision.apply = Apply(decision.state, *relayed, now);
-  else if (const auto* told = std::get_if<EraObserved>(&event))
-    Apply(decision.state, *told);
+  else if (const auto* observed = std::get_if<EraObserved>(&event))
+    Apply(decision.state, *observed);
   else if (const auto* page = std::get_if<FirstPageEnded>(&event))
     ApplyFirstPage(settings, decision.state, *page, now);
   else if (const auto* relays = std::get_if<RelaysChanged>(&event))
@@ -274,7 +275,7 @@
 Time NextRead(const Settings& settings, const State& state) {
   if (state.reading_since) return Time::max();
   // The clock counts from machine start, so its value may be less than the maximum age.
-  if (!state.listed && !state.begun) return state.retry_not_before;
+  if (!state.listed && !state.first_page_applied) return state.retry_not_before;
   const bool configuration_read_pending = state.split_reads && state.configuration_wanted;
   if (configuration_read_pending) return state.retry_not_before;
   const Time due = std::min(ServersDue(settings, state), ConfigurationDue(settings, state));
@@ -303,8 +304,9 @@
   const bool old = now >= state.current_at + MaxAge(settings, state);
   const bool servers = MayUseRelays(state) ? now >= ServersDue(settings, state)
                                            : !state.listed || state.urgent || old;
-  const bool told = state.told && state.told->revision > state.configuration_revision;
-  if (!servers && told && !state.announced_missed) return ReadKind::kAnnouncedConfiguration;
+  const bool announced =
+      state.announced && state.announced->revision > state.configuration_revision;
+  if (!servers && announced && !state.announced_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
   if (state.split_reads) return ReadKind::kServers;
   // Changes since a relayed revision omit configurations from before that revision.
--- a/src/relay/follow_state.h
+++ b/src/relay/follow_state.h
@@ -64,7 +64,7 @@
   /// long.
   Milliseconds relay_timeout{3'500};
   /// A daemon without server data, which may be part of a large fleet that starts at once, lists
-  /// the servers itself if it has not been told by then which relays to use.
+  /// the servers itself if no relay plan has arrived by then.
   Milliseconds listing_delay{8'000};
   /// How long a daemon that uses relays tries to get a newer configuration from them before it
   /// reads the store.
@@ -113,11 +113,11 @@
   Time configuration_at{};               ///< At this time the configuration was current.
   std::optional<Time> reading_since;
   ReadKind reading = ReadKind::kListing;  ///< Kind of the read in progress; otherwise unused.
-  bool reading_all = false;               ///< The read lists all servers, page by page.
+  bool listing_all_pages = false;         ///< The read lists all servers, page by page.
   bool urgent = false;  ///< A read is needed before `current_at` exceeds the maximum age.
-  bool configuration_wanted = false;           ///< A newer configuration exists or may exist.
-  Time configuration_wanted_since{};           ///< When it was announced.
-  std::optional<AnnouncedConfiguration> told;  ///< The announced configuration, if any.
+  bool configuration_wanted = false;                ///< A newer configuration exists or may exist.
+  Time configuration_wanted_since{};                ///< When it was announced.
+  std::optional<AnnouncedConfiguration> announced;  ///< The announced configuration, if any.
   AnnouncedConfiguration
       reading_announced;          ///< The announced configuration that the current read requests.
   bool announced_missed = false;  ///< The read of the announced one failed or was stale.
@@ -130,11 +130,11 @@
   bool watches = false;           ///< This daemon is a watcher: others follow it.
   /// The configuration is known, but the servers exceed one page: they are listed later or taken
   /// from a relay.
-  bool begun = false;
+  bool first_page_applied = false;
   bool relayed = false;  ///< The plan names relays for this daemon, which is not a relay.
   /// `revision` comes from a partial answer: entries that changed again later are still missing.
   /// Answers to requests sent from an earlier revision cannot show that nothing is missing.
-  bool in_parts = false;
+  bool partially_updated = false;
   Time servers_not_before{};  ///< Earliest listing of servers, while relays may still be named.
   Time relays_known_since{};
   double listing_bytes = 0;       ///< Size of the last listing.
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -115,7 +115,7 @@
     return 1 + static_cast<std::int64_t>(s * servers * kHeartbeatsPerServerPerS);
   }
   double BytesOf(const Daemon& daemon, ReadKind kind) const {
-    const bool first = !daemon.state.listed && !daemon.state.begun;
+    const bool first = !daemon.state.listed && !daemon.state.first_page_applied;
     switch (kind) {
       case ReadKind::kListing:
         return first ? kConfigurationBytes + kPageEntries * kEntryBytes
@@ -146,7 +146,7 @@
   }
   void Read(Daemon& daemon) {
     const ReadKind kind = follow::NextReadKind(settings, daemon.state, now);
-    const bool first = !daemon.state.listed && !daemon.state.begun;
+    const bool first = !daemon.state.listed && !daemon.state.first_page_applied;
     Decide(daemon, follow::ReadBegun{kind});
     daemon.read_failed = daemon.refused;
     if (daemon.refused) {
@@ -213,7 +213,7 @@
     if (next.number != plan.number) {
       plan = next;
       for (const auto& daemon : daemons)
-        if (daemon->state.begun || daemon->state.listed) ApplyPlan(*daemon);
+        if (daemon->state.first_page_applied || daemon->state.listed) ApplyPlan(*daemon);
     }
     At(now + seconds(1), [this] { MakePlan(); });
   }
@@ -304,7 +304,7 @@
       ReadWhenDue(daemon);
     }
     if (!daemon.alive || !plan.needed()) return;
-    if (daemon.state.begun || daemon.state.listed) TakeRole(daemon);
+    if (daemon.state.first_page_applied || daemon.state.listed) TakeRole(daemon);
     if (daemon.state.watches || !daemon.state.listed) return;
     Daemon* relay = Find(daemon.sources->Current(now));
     if (relay == nullptr) return;
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -65,7 +65,7 @@
   Knowledge known;
   ChangeLog log;
   StoreRevision told;               ///< Revision of the last announced configuration.
-  StoreRevision reading_announced;  ///< `told` at the start of the current read.
+  StoreRevision reading_announced;  ///< Value of `told` at the start of the current read.
   bool cut_off = false;             ///< The store is unreachable.
 };
 
@@ -254,7 +254,7 @@
   void AnswerRequest(Time asked, StoreRevision from) {
     if (!watcher.state.listed) return;
     if (rules.watcher_needs_configuration && !watcher.state.ConfigurationIsCurrent()) return;
-    if (watcher.state.in_parts) return;
+    if (watcher.state.partially_updated) return;
     follow::Relayed answer;
     const Time current_at = rules.watcher_needs_configuration
                                 ? std::min(watcher.state.current_at, watcher.state.configuration_at)
@@ -301,7 +301,7 @@
     const StoreRevision known = follower.state.revision;
     const follow::Decision decision = follow::Reduce(kSettings, follower.state, answer, now);
     follower.state = decision.state;
-    if (!rules.older_answers_ignored_after_parts) follower.state.in_parts = false;
+    if (!rules.older_answers_ignored_after_parts) follower.state.partially_updated = false;
     if (decision.apply) {
       for (const ChangeLog::Change& change : changes)
         if (change.revision > known)
