--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -55,7 +55,8 @@
   bool gap = false;
   /// `servers` holds the changes after this revision. With a gap, this is the requested revision.
   StoreRevision from_revision;
-  StoreRevision to_revision;  ///< Last revision covered: the newest one that the sender knows.
+  /// Last revision covered: the newest one that the sender knows, or less if `partial`.
+  StoreRevision to_revision;
   /// Time between the store's last confirmation to the sender that nothing newer exists and the
   /// arrival of the request.
   std::int64_t age_us = 0;
