--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -84,11 +84,11 @@
     handlers_.on_credit_answer(*credit_answer, from);
   } else if (const auto* relay_plan = std::get_if<RelayPlan>(&message)) {
     handlers_.on_relay_plan(*relay_plan, from);
-  } else if (const auto* servers_question = std::get_if<ServersQuestion>(&message)) {
+  } else if (const auto* servers_question = std::get_if<ServersRequest>(&message)) {
     handlers_.on_servers_question(*servers_question, from);
   } else if (const auto* servers_page = std::get_if<ServersPage>(&message)) {
     handlers_.on_servers_page(*servers_page, from);
-  } else if (const auto* configuration_question = std::get_if<ConfigurationQuestion>(&message)) {
+  } else if (const auto* configuration_question = std::get_if<ConfigurationRequest>(&message)) {
     handlers_.on_configuration_question(*configuration_question, from);
   } else if (const auto* configuration_part = std::get_if<ConfigurationPart>(&message)) {
     handlers_.on_configuration_part(*configuration_part, from);
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -72,7 +72,7 @@
   std::vector<DemandEntry> entries;
   std::vector<std::string> unreachable;  ///< Servers to which recent connections failed.
   /// Asks for changes in the store; only in the last part.
-  std::optional<ChangeQuestion> question;
+  std::optional<ChangeRequest> question;
   std::uint64_t quarantine_digest = 0;    ///< Digest of the sender's quarantine cases.
   std::uint16_t format = kMessageFormat;  ///< Message format of the sender's build.
   ZoneId zone = 0;                        ///< Zone of the sender; 0: unknown. An added field.
@@ -117,7 +117,7 @@
 /// not know the last two ignore them, so their queries get no response.
 using FleetMessage = std::variant<DemandReport, PlacementNotice, ChangeAnswer, LeadershipOffer,
                                   QuarantineNotice, CreditSharing, CreditQuestion, CreditAnswer,
-                                  RelayPlan, ServersQuestion, ServersPage, ConfigurationQuestion,
+                                  RelayPlan, ServersRequest, ServersPage, ConfigurationRequest,
                                   ConfigurationPart, PermitRequest, PermitResponse>;
 
 template <typename Archive>
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -67,8 +67,8 @@
   const double spread =
       static_cast<double>(std::hash<std::string>{}(settings.name) % kSpreadSteps) /
       static_cast<double>(kSpreadSteps);
-  wanted.configuration_patience = share(kConfigurationPatienceShare);
-  wanted.relay_patience = share(kRelayPatienceShare + kRelayPatienceSpread * spread);
+  wanted.configuration_relay_timeout = share(kConfigurationPatienceShare);
+  wanted.relay_timeout = share(kRelayPatienceShare + kRelayPatienceSpread * spread);
   return wanted;
 }
 
@@ -133,13 +133,13 @@
                   else
                     NoteDropped("a plan of relays that is not the leader's", from);
                 },
-                [this](const ServersQuestion& question, const std::string& from) {
+                [this](const ServersRequest& question, const std::string& from) {
                   relays_.AnswerServersQuestion(question, from);
                 },
                 [this](const ServersPage& page, const std::string& from) {
                   relays_.HandleServersPage(page, from);
                 },
-                [this](const ConfigurationQuestion& question, const std::string& from) {
+                [this](const ConfigurationRequest& question, const std::string& from) {
                   relays_.AnswerConfigurationQuestion(question, from);
                 },
                 [this](const ConfigurationPart& part, const std::string& from) {
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -56,9 +56,9 @@
     if (plan_.number > 0) view_.SetRelays(false);
     return;
   }
-  sources_.SetPatient(view_.AwaitsServers());
+  sources_.SetLearning(view_.AwaitsServers());
   const Time now = BootClock::now();
-  sources_.NoteOwnReads(!view_.StoreReachable(), now);
+  sources_.RecordOwnReads(!view_.StoreReachable(), now);
   watches_ = sources_.Watches(now);
   view_.SetServing(IsRelay());
   view_.SetWatching(watches_ || ports_.leads());
@@ -121,7 +121,7 @@
   if (relay.empty()) return;
   const DemandReport report = ports_.ask();
   if (!report.question) return;
-  sources_.Asked(now);
+  sources_.RecordRequest(now);
   ports_.send(relay, report);
 }
 
@@ -129,10 +129,10 @@
   if (!sources_.Contains(from)) return false;
   const Time now = BootClock::now();
   if (!answer.relays) {
-    sources_.Declined(from, now);
+    sources_.RecordDecline(from, now);
     return true;
   }
-  sources_.Heard(from, std::chrono::microseconds(answer.age_us), now);
+  sources_.RecordAnswer(from, std::chrono::microseconds(answer.age_us), now);
   if (!answer.leader.empty()) {
     reported_leader_ = answer.leader;
     reported_leader_at_ = now;
@@ -145,7 +145,7 @@
                                                                           : std::string();
 }
 
-void RelayService::AnswerServersQuestion(const ServersQuestion& question, const std::string& from) {
+void RelayService::AnswerServersQuestion(const ServersRequest& question, const std::string& from) {
   ++metrics_.servers_pages_sent;
   ports_.send(from, view_.MakeServersPage(question));
 }
@@ -159,21 +159,21 @@
 void RelayService::HandleServersPage(const ServersPage& page, const std::string& from) {
   if (!AcceptFromRelay(from)) return;
   switch (view_.ApplyServersPage(page, from)) {
-    case SnapshotReader::Taken::kIgnored:
+    case SnapshotReader::PageResult::kIgnored:
       return;
-    case SnapshotReader::Taken::kDeclined:
-      sources_.Declined(from, BootClock::now());
+    case SnapshotReader::PageResult::kDeclined:
+      sources_.RecordDecline(from, BootClock::now());
       return;
-    case SnapshotReader::Taken::kPage:
-    case SnapshotReader::Taken::kWhole:
+    case SnapshotReader::PageResult::kPage:
+    case SnapshotReader::PageResult::kLastPage:
       ++metrics_.servers_pages_taken;
-      sources_.Heard(from, std::chrono::microseconds(0), BootClock::now());
+      sources_.RecordAnswer(from, std::chrono::microseconds(0), BootClock::now());
       SendDueQuestions();
       return;
   }
 }
 
-void RelayService::AnswerConfigurationQuestion(const ConfigurationQuestion& question,
+void RelayService::AnswerConfigurationQuestion(const ConfigurationRequest& question,
                                                const std::string& from) {
   if (const std::optional<ConfigurationPart> part = view_.MakeConfigurationPart(question))
     ports_.send(from, *part);
@@ -190,11 +190,11 @@
   const Time now = BootClock::now();
   const std::string relay = sources_.Current(now);
   if (relay.empty()) return;
-  if (const std::optional<ServersQuestion> servers = view_.NextServersQuestion()) {
-    sources_.Asked(now);
+  if (const std::optional<ServersRequest> servers = view_.NextServersQuestion()) {
+    sources_.RecordRequest(now);
     ports_.send(relay, *servers);
   }
-  if (const std::optional<ConfigurationQuestion> text = view_.NextConfigurationQuestion())
+  if (const std::optional<ConfigurationRequest> text = view_.NextConfigurationQuestion())
     ports_.send(relay, *text);
   if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
   retry_timer_.expires_after(kRetryInterval);
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -41,7 +41,7 @@
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
   const bool reappeared = pending_removals_.erase(record.id) > 0;
-  if (known == nullptr || reappeared || !SameForRequests(known->record(), record))
+  if (known == nullptr || reappeared || !EqualForRouting(known->record(), record))
     changes_.Note(record.id, revision, false);
   const std::string id = record.id;
   const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -78,7 +78,7 @@
 }
 
 void StoreView::ObserveEra(std::int64_t era) {
-  ApplyEvent(follow::EraTold{era});
+  ApplyEvent(follow::EraObserved{era});
   ScheduleRead();
 }
 
@@ -101,7 +101,7 @@
 
 void StoreView::SetWatching(bool watches) {
   if (watches == state_.watches) return;
-  ApplyEvent(follow::RoleTaken{watches});
+  ApplyEvent(follow::RoleChanged{watches});
   ScheduleRead();
 }
 
@@ -125,7 +125,7 @@
   ApplyEvent(follow::ReadBegun{kind});
   switch (kind) {
     case follow::ReadKind::kListing:
-      if (state_.listed || state_.begun)
+      if (state_.listed || state_.first_page_applied)
         ReadRange(AllKeys(), &StoreView::ApplyListing);
       else
         ReadFirstPage();
@@ -139,7 +139,7 @@
     case follow::ReadKind::kConfiguration:
       ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::ApplyConfigurationRead);
       break;
-    case follow::ReadKind::kToldConfiguration:
+    case follow::ReadKind::kAnnouncedConfiguration:
       expected_version_ = announced_version_;
       ReadRange({protocol_.layout().configuration_key, ""}, &StoreView::ApplyConfigurationRead,
                 ReadConsistency::kPossiblyStale);
@@ -234,7 +234,7 @@
   listing_new_era_ = state_.listed && listing.revision.era > known.era;
   if (listing_new_era_) servers_.BeginGracePeriod();
   if (state_.listed)
-    changes_.NoteListing(known, listing.revision);
+    changes_.RecordListing(known, listing.revision);
   else
     changes_.Restart(listing.revision);
   std::unordered_set<std::string> listed;
@@ -252,7 +252,7 @@
   for (const KeyValue& entry : listing.entries) ApplyEntry(entry);
   follow::ReadEnded ended{listing.revision, EncodedSize(listing.entries), std::nullopt};
   ended.outdated =
-      state_.reading == follow::ReadKind::kToldConfiguration && Version() < expected_version_;
+      state_.reading == follow::ReadKind::kAnnouncedConfiguration && Version() < expected_version_;
   if (ended.outdated) ++metrics_.outdated_reads;
   ApplyEvent(ended);
 }
@@ -440,7 +440,7 @@
 void StoreView::RecordContact(SteadyTime current_at) {
   const auto silence = current_at - last_contact_;
   // Without a failed read, the usual time between two reads does not indicate an outage.
-  const auto outage = failed_reads_ > 0 ? kMinOutage : kMinOutage + settings_.longest_age;
+  const auto outage = failed_reads_ > 0 ? kMinOutage : kMinOutage + settings_.max_age;
   if (ever_connected_ && silence > outage) servers_.BeginGracePeriod();
   if (!store_connected_)
     log_.Write(LogRank::kDecision,
@@ -462,7 +462,7 @@
   const SteadyTime now = BootClock::now();
   const auto taken = now - state_.reading_since.value_or(now);
   metrics_.store_read.Observe(std::chrono::duration<double, std::milli>(taken).count());
-  if (taken < settings_.longest_age * kSlowReadFraction) return;
+  if (taken < settings_.max_age * kSlowReadFraction) return;
   log_.Write(LogRank::kDecision,
              EventLine(LogEvent::kStoreReadLate)
                  .Field(LogField::kRead, ToString(state_.reading))
@@ -482,9 +482,9 @@
   const bool unanswered = failure.fault == PlatformFault::kNoAnswer;
   const bool history_gone = failure.fault == PlatformFault::kRejected;
   ApplyEvent(follow::ReadFailed{retry_delay_, unanswered, history_gone});
-  const Milliseconds longest = follow::LongestPause(settings_, state_, BootClock::now());
+  const Milliseconds longest = follow::MaxRetryDelay(settings_, state_, BootClock::now());
   retry_delay_ =
-      retry_delay_ >= settings_.longest_pause ? longest : std::min(longest, retry_delay_ * 2);
+      retry_delay_ >= settings_.max_retry_delay ? longest : std::min(longest, retry_delay_ * 2);
   ScheduleRead();
   if (!store_connected_) return;
   store_connected_ = false;
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -54,12 +54,12 @@
   /// Sets whether other daemons follow this one, which then reads the store more often.
   void SetWatching(bool watches);
   /// @return the question for the watching daemon; nothing before the store was listed.
-  std::optional<ChangeQuestion> MakeChangeQuestion() const;
+  std::optional<ChangeRequest> MakeChangeQuestion() const;
   /// @return the answer to the question of a follower.
   /// @param daemons number of daemons in the fleet, as far as known. @pre this daemon watches the
   /// store.
   /// @param parts whether the asking daemon accepts a part of the changes.
-  ChangeAnswer MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
+  ChangeAnswer MakeChangeAnswer(const ChangeRequest& question, std::uint32_t daemons,
                                 bool parts) const;
   /// Records an era of the store that another store call or another daemon reported.
   void ObserveEra(std::int64_t era);
@@ -73,16 +73,16 @@
   void SetRelays(bool named);
   /// @return whether the store holds more servers than fit on one page and none of them is known
   /// yet.
-  bool AwaitsServers() const { return state_.begun && !state_.listed; }
+  bool AwaitsServers() const { return state_.first_page_applied && !state_.listed; }
   /// @return the question to send to a relay now, if all servers are to be fetched from one.
-  std::optional<ServersQuestion> NextServersQuestion();
+  std::optional<ServersRequest> NextServersQuestion();
   /// @return whether the last read of the store succeeded; true before the first one.
   bool StoreReachable() const { return failed_reads_ == 0; }
   /// @return the question for a part of the configuration, if it is to be fetched from a relay.
-  std::optional<ConfigurationQuestion> NextConfigurationQuestion();
+  std::optional<ConfigurationRequest> NextConfigurationQuestion();
   /// @return the requested part; nothing if this daemon does not hold that configuration.
   std::optional<ConfigurationPart> MakeConfigurationPart(
-      const ConfigurationQuestion& question) const;
+      const ConfigurationRequest& question) const;
   /// Applies a part of the configuration that a relay sent.
   void ApplyConfigurationPart(const ConfigurationPart& part);
   /// @return whether the configuration is being fetched from a relay.
@@ -90,18 +90,19 @@
   /// @return whether the servers are being fetched from a relay.
   bool FetchesServers() const { return snapshot_.running(); }
   /// @return the requested page of the servers that this daemon knows.
-  ServersPage MakeServersPage(const ServersQuestion& question) const;
+  ServersPage MakeServersPage(const ServersRequest& question) const;
   /// Applies a page of servers that a relay sent.
   /// @param from "IP:PORT" of the relay.
   /// @return whether the page was requested, and whether it was the last.
-  SnapshotReader::Taken ApplyServersPage(const ServersPage& page, const std::string& from);
+  SnapshotReader::PageResult ApplyServersPage(const ServersPage& page, const std::string& from);
 
  private:
   using Milliseconds = std::chrono::milliseconds;
 
   /// @return whether the view is complete enough to answer other daemons.
   bool CanServe() const {
-    const bool whole = state_.listed && !state_.in_parts && state_.ConfigurationKept();
+    const bool whole =
+        state_.listed && !state_.partially_updated && state_.ConfigurationIsCurrent();
     return whole && (state_.watches || serves_);
   }
   /// Advances the follow state by one event.
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-std::optional<ChangeQuestion> StoreView::MakeChangeQuestion() const {
+std::optional<ChangeRequest> StoreView::MakeChangeQuestion() const {
   if (!state_.listed) return std::nullopt;
-  return ChangeQuestion{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
+  return ChangeRequest{Microseconds(BootClock::now().time_since_epoch()), state_.revision};
 }
 
-ChangeAnswer StoreView::MakeChangeAnswer(const ChangeQuestion& question, std::uint32_t daemons,
+ChangeAnswer StoreView::MakeChangeAnswer(const ChangeRequest& question, std::uint32_t daemons,
                                          bool parts) const {
   ChangeAnswer answer;
   answer.asked_at_us = question.asked_at_us;
@@ -49,19 +49,19 @@
 
 void StoreView::SetRelays(bool named) {
   const bool reading = state_.reading_since.has_value();
-  ApplyEvent(follow::RelaysTold{named});
+  ApplyEvent(follow::RelaysChanged{named});
   if (reading && !state_.reading_since) active_read_.reset();
   ScheduleRead();
 }
 
-std::optional<ServersQuestion> StoreView::NextServersQuestion() {
+std::optional<ServersRequest> StoreView::NextServersQuestion() {
   const bool wanted = follow::WantsServers(state_);
   if (!wanted) snapshot_.Stop();
   if (wanted && !snapshot_.running()) snapshot_.Begin();
   return snapshot_.Due(BootClock::now());
 }
 
-ServersPage StoreView::MakeServersPage(const ServersQuestion& question) const {
+ServersPage StoreView::MakeServersPage(const ServersRequest& question) const {
   ServersPage page;
   page.asked_at_us = question.asked_at_us;
   page.after = question.after;
@@ -75,11 +75,11 @@
   return page;
 }
 
-SnapshotReader::Taken StoreView::ApplyServersPage(const ServersPage& page,
-                                                  const std::string& from) {
-  using Taken = SnapshotReader::Taken;
-  const Taken taken = snapshot_.Take(page, from);
-  if (taken == Taken::kIgnored || taken == Taken::kDeclined) return taken;
+SnapshotReader::PageResult StoreView::ApplyServersPage(const ServersPage& page,
+                                                       const std::string& from) {
+  using PageResult = SnapshotReader::PageResult;
+  const PageResult taken = snapshot_.Take(page, from);
+  if (taken == PageResult::kIgnored || taken == PageResult::kDeclined) return taken;
   // A known server within the page's range of ids that the page does not list has been removed.
   std::unordered_set<std::string> named;
   for (ServerChange server : page.servers) {
@@ -98,11 +98,11 @@
   const SteadyTime asked_at{std::chrono::microseconds(page.asked_at_us)};
   const std::chrono::microseconds age{std::max<std::int64_t>(0, page.age_us)};
   ApplyEvent(follow::ServersPageTaken{page.revision, newer, asked_at - age});
-  if (taken == Taken::kWhole) FinishSnapshot();
+  if (taken == PageResult::kLastPage) FinishSnapshot();
   return taken;
 }
 
-std::optional<ConfigurationQuestion> StoreView::NextConfigurationQuestion() {
+std::optional<ConfigurationRequest> StoreView::NextConfigurationQuestion() {
   if (follow::WantsConfiguration(state_) && announced_version_ > Version())
     configuration_reader_.Want(announced_version_);
   else
@@ -111,7 +111,7 @@
 }
 
 std::optional<ConfigurationPart> StoreView::MakeConfigurationPart(
-    const ConfigurationQuestion& question) const {
+    const ConfigurationRequest& question) const {
   if (question.version != Version()) return std::nullopt;
   return PartOf(configuration_bytes_, configuration_entry_revision_, question);
 }
@@ -132,7 +132,7 @@
 
 void StoreView::FinishSnapshot() {
   if (state_.listed)
-    changes_.NoteListing(state_.revision, snapshot_.revision());
+    changes_.RecordListing(state_.revision, snapshot_.revision());
   else
     changes_.Restart(snapshot_.revision());
   ApplyEvent(follow::ServersTaken{snapshot_.revision(), snapshot_.current_at()});
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -6,7 +6,7 @@
 
 std::size_t EncodedBytes(const ServerChange& change) {
   constexpr std::size_t kFixedBytes = 40;  ///< Revision, life, slots, port, flags, counts.
-  constexpr std::size_t kLengthBytes = 8;  ///< Before each text and list.
+  constexpr std::size_t kLengthBytes = 8;  ///< Length prefix of each string and list.
   const auto text = [](const std::string& value) { return kLengthBytes + value.size(); };
   const ServerRecord& record = change.record;
   std::size_t bytes = kFixedBytes + text(record.id) + text(record.service) +
@@ -21,24 +21,25 @@
 
 namespace {
 
-ServerChange Describe(const ChangeLog::Change& change, const RecordFinder& find_record) {
+ServerChange MakeServerChange(const ChangeLog::Change& change, const RecordFinder& find_record) {
   const ServerRecord* record = change.gone ? nullptr : find_record(change.server_id);
-  ServerChange told{change.revision, record == nullptr, {}};
+  ServerChange server_change{change.revision, record == nullptr, {}};
   if (record == nullptr)
-    told.record.id = change.server_id;
+    server_change.record.id = change.server_id;
   else
-    told.record = *record;
-  return told;
+    server_change.record = *record;
+  return server_change;
 }
 
-/// Takes off the end until no revision is there in part: one transaction may change several.
-void EndAtWholeRevision(std::vector<ServerChange>& servers, StoreRevision next) {
+/// Removes trailing changes of revision `next`, so that no revision is included only in part: one
+/// transaction may change several servers.
+void DropPartialRevision(std::vector<ServerChange>& servers, StoreRevision next) {
   while (!servers.empty() && servers.back().revision == next) servers.pop_back();
 }
 
 }  // namespace
 
-bool SameForRequests(const ServerRecord& left, const ServerRecord& right) {
+bool EqualForRouting(const ServerRecord& left, const ServerRecord& right) {
   return left.life == right.life && left.service == right.service &&
          left.endpoint == right.endpoint && left.zone == right.zone &&
          left.software_version == right.software_version && left.slots == right.slots &&
@@ -48,24 +49,24 @@
 void FillChanges(ChangeAnswer& answer, const ChangeLog& changes, const RecordFinder& find_record,
                  bool parts) {
   answer.to_revision = changes.newest();
-  answer.gap = !changes.Reaches(answer.from_revision);
+  answer.gap = !changes.CoversSince(answer.from_revision);
   if (answer.gap) return;
   std::size_t bytes = 0;
   for (const ChangeLog::Change& change : changes.Since(answer.from_revision)) {
-    ServerChange told = Describe(change, find_record);
-    bytes += EncodedBytes(told);
-    if (bytes > kMostServersBytes) {
-      EndAtWholeRevision(answer.servers, change.revision);
+    ServerChange server_change = MakeServerChange(change, find_record);
+    bytes += EncodedBytes(server_change);
+    if (bytes > kMaxServersBytes) {
+      DropPartialRevision(answer.servers, change.revision);
       answer.partial = parts && !answer.servers.empty();
       answer.gap = !answer.partial;
       break;
     }
-    answer.servers.push_back(std::move(told));
+    answer.servers.push_back(std::move(server_change));
   }
   if (answer.partial) {
     answer.to_revision = std::min(answer.to_revision, answer.servers.back().revision);
-    // From there the next part could not be told.
-    if (!changes.Reaches(answer.to_revision)) answer.gap = true;
+    // The log could not supply the next part from this revision.
+    if (!changes.CoversSince(answer.to_revision)) answer.gap = true;
   }
   answer.partial = answer.partial && !answer.gap;
   if (answer.gap) answer.servers.clear();
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Of one part: with it a message is no longer than a datagram of the channel.
-constexpr std::size_t kPartBytes = 7'000;
-/// A part takes some milliseconds on its way.
-constexpr std::chrono::milliseconds kAskAgain{150};
+/// Size of one part, chosen so that a message fits in one datagram of the channel.
+constexpr std::size_t kMaxPartBytes = 7'000;
+/// A part takes a few milliseconds in transit.
+constexpr std::chrono::milliseconds kRetryInterval{150};
 
 std::uint64_t DigestOf(const std::string& text, std::int64_t version) {
   return XXH64(text.data(), text.size(), static_cast<XXH64_hash_t>(version));
@@ -20,15 +20,15 @@
 }  // namespace
 
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationQuestion& question) {
-  const std::size_t begin = question.part * kPartBytes;
+                                        const ConfigurationRequest& request) {
+  const std::size_t begin = request.part * kMaxPartBytes;
   if (begin >= text.size()) return std::nullopt;
   ConfigurationPart part;
-  part.version = question.version;
-  part.part = question.part;
-  part.digest = DigestOf(text, question.version);
+  part.version = request.version;
+  part.part = request.part;
+  part.digest = DigestOf(text, request.version);
   part.revision = revision;
-  part.bytes = text.substr(begin, kPartBytes);
+  part.bytes = text.substr(begin, kMaxPartBytes);
   part.more = begin + part.bytes.size() < text.size();
   return part;
 }
@@ -39,11 +39,11 @@
   version_ = version;
 }
 
-std::optional<ConfigurationQuestion> ConfigurationReader::Due(Time now) {
+std::optional<ConfigurationRequest> ConfigurationReader::Due(Time now) {
   if (!running()) return std::nullopt;
-  if (asked_at_ != Time{} && now - asked_at_ < kAskAgain) return std::nullopt;
+  if (asked_at_ != Time{} && now - asked_at_ < kRetryInterval) return std::nullopt;
   asked_at_ = now;
-  return ConfigurationQuestion{version_, next_part_};
+  return ConfigurationRequest{version_, next_part_};
 }
 
 std::optional<ConfigurationReader::Text> ConfigurationReader::Take(const ConfigurationPart& part) {
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -6,229 +6,231 @@
 
 namespace {
 
-/// A rate of changes over less time says little: some few of them come together.
-constexpr std::chrono::duration<double> kShortestSpan{0.1};
+/// A change rate over a shorter interval is unreliable, since changes arrive in small bursts.
+constexpr std::chrono::duration<double> kMinRateInterval{0.1};
 
 double SecondsBetween(Time from, Time to) {
-  return std::max(kShortestSpan, std::chrono::duration<double>(to - from)).count();
+  return std::max(kMinRateInterval, std::chrono::duration<double>(to - from)).count();
 }
 
-bool ShowsServers(ReadKind kind) {
-  return kind != ReadKind::kConfiguration && kind != ReadKind::kToldConfiguration;
+bool ReadsServers(ReadKind kind) {
+  return kind != ReadKind::kConfiguration && kind != ReadKind::kAnnouncedConfiguration;
 }
-bool ShowsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
-/// @return whether the answer is what is now, not what has changed.
+bool ReadsConfiguration(ReadKind kind) { return kind != ReadKind::kServers; }
+/// @return whether the answer holds the current state of servers rather than changes.
 bool ListsServers(ReadKind kind) {
   return kind == ReadKind::kListing || kind == ReadKind::kServers;
 }
 
-void Take(State& state, const ReadBegun& read, Time now) {
+void Apply(State& state, const ReadBegun& read, Time now) {
   state.reading_since = now;
   state.reading = read.kind;
-  state.reading_all = ListsServers(read.kind) && (state.listed || state.begun);
-  // Whatever was heard before, this read will show.
-  if (ShowsServers(read.kind)) state.urgent = false;
-  if (ShowsConfiguration(read.kind)) state.configuration_wanted = false;
-  if (read.kind == ReadKind::kToldConfiguration) state.reading_told = *state.told;
+  state.listing_all_pages = ListsServers(read.kind) && (state.listed || state.first_page_applied);
+  // This read covers everything that was announced before.
+  if (ReadsServers(read.kind)) state.urgent = false;
+  if (ReadsConfiguration(read.kind)) state.configuration_wanted = false;
+  if (read.kind == ReadKind::kAnnouncedConfiguration) state.reading_announced = *state.announced;
 }
 
-void TakeServers(State& state, const ReadEnded& read, Time since) {
+void ApplyServers(State& state, const ReadEnded& read, Time since) {
   const bool lists = ListsServers(state.reading);
   if (read.change_bytes && state.listed)
     state.change_bytes_per_s = *read.change_bytes / SecondsBetween(state.current_at, since);
-  // A listing says all there is, whatever was known before.
+  // A listing is complete, so it replaces the previous revision even if that was higher.
   state.revision = lists ? read.revision : std::max(state.revision, read.revision);
   state.listed = state.listed || lists;
-  state.in_parts = false;
+  state.partially_updated = false;
   state.current_at = std::max(state.current_at, since);
-  state.changes_unread = false;
+  state.changes_unavailable = false;
 }
 
-void TakeTold(State& state, const ToldConfiguration& told) {
-  state.configuration_revision = std::max(state.configuration_revision, told.revision);
-  state.configuration_at = std::max(state.configuration_at, told.current_at);
+void ApplyAnnounced(State& state, const AnnouncedConfiguration& announced) {
+  state.configuration_revision = std::max(state.configuration_revision, announced.revision);
+  state.configuration_at = std::max(state.configuration_at, announced.current_at);
 }
 
-void TakeTold(State& state, const ReadEnded& read) {
-  state.told_missed = read.outdated;
+void ApplyAnnounced(State& state, const ReadEnded& read) {
+  state.announced_missed = read.outdated;
   if (read.outdated)
     state.configuration_wanted = true;
   else
-    TakeTold(state, state.reading_told);
+    ApplyAnnounced(state, state.reading_announced);
 }
 
-void TakeConfiguration(State& state, const ReadEnded& read, Time since) {
-  if (state.reading == ReadKind::kToldConfiguration) {
-    TakeTold(state, read);
+void ApplyConfiguration(State& state, const ReadEnded& read, Time since) {
+  if (state.reading == ReadKind::kAnnouncedConfiguration) {
+    ApplyAnnounced(state, read);
     return;
   }
-  state.told_missed = false;
+  state.announced_missed = false;
   state.configuration_revision = std::max(state.configuration_revision, read.revision);
   state.configuration_at = std::max(state.configuration_at, since);
-  state.narrow = false;
+  state.split_reads = false;
 }
 
-void Take(const Settings& settings, State& state, const ReadEnded& read, Time now) {
+void Apply(const Settings& settings, State& state, const ReadEnded& read, Time now) {
   const Time since = state.reading_since.value_or(now);
-  if (ShowsServers(state.reading)) TakeServers(state, read, since);
-  if (ShowsConfiguration(state.reading)) TakeConfiguration(state, read, since);
+  if (ReadsServers(state.reading)) ApplyServers(state, read, since);
+  if (ReadsConfiguration(state.reading)) ApplyConfiguration(state, read, since);
   if (state.reading == ReadKind::kListing) state.listing_bytes = read.bytes;
   state.reading_since.reset();
-  // The read that follows an outdated answer belongs to it.
-  if (!read.outdated) state.urgent_not_before = now + settings.between_urgent;
+  // The read that follows an outdated answer is not delayed as another urgent read.
+  if (!read.outdated) state.urgent_read_not_before = now + settings.min_urgent_interval;
 }
 
-void Take(State& state, const ReadFailed& failure, Time now) {
+void Apply(State& state, const ReadFailed& failure, Time now) {
   const bool changes = state.reading == ReadKind::kChanges;
   state.reading_since.reset();
-  state.not_before = now + failure.pause;
-  if (ShowsServers(state.reading)) state.urgent = true;
-  if (ShowsConfiguration(state.reading)) state.configuration_wanted = true;
-  if (state.reading == ReadKind::kToldConfiguration) state.told_missed = true;
-  if (changes && (failure.unanswered || failure.history_gone)) state.changes_unread = true;
-  if (state.reading == ReadKind::kListing && failure.unanswered) state.narrow = true;
+  state.retry_not_before = now + failure.pause;
+  if (ReadsServers(state.reading)) state.urgent = true;
+  if (ReadsConfiguration(state.reading)) state.configuration_wanted = true;
+  if (state.reading == ReadKind::kAnnouncedConfiguration) state.announced_missed = true;
+  if (changes && (failure.unanswered || failure.history_gone)) state.changes_unavailable = true;
+  if (state.reading == ReadKind::kListing && failure.unanswered) state.split_reads = true;
 }
 
-/// What the changes since an earlier era's revision are cannot be asked for.
-void Take(State& state, const EraTold& told) {
-  if (!state.listed || told.era <= state.revision.era) return;
+/// Changes since a revision of an earlier era cannot be requested from the store.
+void Apply(State& state, const EraObserved& observed) {
+  if (!state.listed || observed.era <= state.revision.era) return;
   state.urgent = true;
-  state.changes_unread = true;
+  state.changes_unavailable = true;
 }
 
-/// Another daemon has told whether there is a newer configuration, up to `revision` and at `at`.
-void TakeConfigurationNews(State& state, bool newer, StoreRevision revision, Time at, Time now) {
+/// Another daemon reported whether a newer configuration exists, as of `revision` and time `at`.
+void ApplyConfigurationStatus(State& state, bool newer, StoreRevision revision, Time at, Time now) {
   if (newer) {
-    if (!state.configuration_wanted) state.wanted_since = now;
+    if (!state.configuration_wanted) state.configuration_wanted_since = now;
     state.configuration_wanted = true;
-    state.told = ToldConfiguration{revision, at};
+    state.announced = AnnouncedConfiguration{revision, at};
     return;
   }
-  // Unless a later answer, which overtook this one, told of a configuration.
-  const bool newest = !state.told || state.told->revision <= revision;
+  // A later answer that overtook this one may already have announced a newer configuration.
+  const bool newest = !state.announced || state.announced->revision <= revision;
   if (newest && at > state.configuration_at) state.configuration_wanted = false;
   state.configuration_revision = std::max(state.configuration_revision, revision);
   state.configuration_at = std::max(state.configuration_at, at);
 }
 
-/// @return whether the changes are to be taken over.
-bool Take(State& state, const Relayed& answer, Time now) {
+/// @return whether to apply the changes.
+bool Apply(State& state, const Relayed& answer, Time now) {
   if (!answer.retired && answer.to_revision.era < state.revision.era) return false;
   if (!answer.retired) {
     state.watcher_heard_at = now;
     state.watcher_current_at = answer.current_at;
   }
-  // What a listing under way shows may be older than what is relayed meanwhile.
+  // A listing in progress may return older data than what is relayed meanwhile.
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (!state.listed || listing) return false;
   const bool other_era = answer.to_revision.era != state.revision.era;
-  if (!answer.retired && other_era) Take(state, EraTold{answer.to_revision.era});
+  if (!answer.retired && other_era) Apply(state, EraObserved{answer.to_revision.era});
   const bool gap = answer.gap || other_era || answer.from_revision > state.revision;
   if (answer.retired || gap) {
-    state.urgent = true;  // A read from the present revision brings what is missing.
+    state.urgent = true;  // A read from the current revision returns the missing changes.
     return false;
   }
-  // What came and went before the watcher's last listing stands in no log. The watcher has vouched
-  // for what is missing since the question's revision, not since one that was read meanwhile.
+  // A server that was added and removed before the watcher's last listing is in no log. The watcher
+  // confirmed completeness since the requested revision only, not since one read in the meantime.
   const bool read_meanwhile =
       answer.from_revision < state.revision && answer.to_revision > state.revision;
-  if (read_meanwhile || (state.in_parts && answer.from_revision < state.revision)) return false;
-  TakeConfigurationNews(state, answer.newer_configuration, answer.to_revision, answer.current_at,
-                        now);
+  if (read_meanwhile || (state.partially_updated && answer.from_revision < state.revision))
+    return false;
+  ApplyConfigurationStatus(state, answer.newer_configuration, answer.to_revision, answer.current_at,
+                           now);
   const bool apply = answer.to_revision > state.revision;
   state.revision = std::max(state.revision, answer.to_revision);
-  // What is still to come may be as old as what this part holds.
-  state.in_parts = answer.partial;
+  // The missing changes may be as old as those in this part.
+  state.partially_updated = answer.partial;
   if (answer.partial) return apply;
-  // Nothing is missing any more as of a later time than was known.
+  // The data is now complete as of a later time than before.
   if (answer.current_at > state.current_at) state.urgent = false;
   state.current_at = std::max(state.current_at, answer.current_at);
   return apply;
 }
 
-void TakeFirstPage(const Settings& settings, State& state, const FirstPageEnded& page, Time now) {
+void ApplyFirstPage(const Settings& settings, State& state, const FirstPageEnded& page, Time now) {
   const Time since = state.reading_since.value_or(now);
   state.reading_since.reset();
-  state.begun = true;
-  state.servers_not_before = now + settings.listing_patience;
+  state.first_page_applied = true;
+  state.servers_not_before = now + settings.listing_delay;
   state.configuration_revision = std::max(state.configuration_revision, page.revision);
   state.configuration_at = std::max(state.configuration_at, since);
 }
 
-/// Relays are named while all servers are being listed: these come from a relay instead. Were each
-/// daemon of a large fleet to read its listing to the end, they would take up the store for longer
-/// than a leader's lease, and the relays' own listings would wait behind them.
-void LeaveListing(const Settings& settings, State& state, Time now) {
-  if (!state.reading_since || !state.reading_all || state.watches) return;
+/// Abandons a listing of all servers when relays are named, and takes the servers from a relay. If
+/// every daemon of a large fleet finished its listing, the store would be busy for longer than a
+/// leader's lease, and the listings of the relays would queue behind the others.
+void AbandonListing(const Settings& settings, State& state, Time now) {
+  if (!state.reading_since || !state.listing_all_pages || state.watches) return;
   state.reading_since.reset();
   state.listed = false;
-  state.begun = true;
-  state.servers_not_before = now + settings.listing_patience;
+  state.first_page_applied = true;
+  state.servers_not_before = now + settings.listing_delay;
 }
 
-void Take(const Settings& settings, State& state, const RelaysTold& relays, Time now) {
+void Apply(const Settings& settings, State& state, const RelaysChanged& relays, Time now) {
   if (relays.named && !state.relayed) {
-    state.relayed_since = now;
-    LeaveListing(settings, state, now);
+    state.relays_known_since = now;
+    AbandonListing(settings, state, now);
   }
   state.relayed = relays.named;
   if (!relays.named) state.servers_not_before = Time{};
 }
 
-void Take(State& state, const ServersPageTaken& page, Time now) {
+void Apply(State& state, const ServersPageTaken& page, Time now) {
   state.watcher_heard_at = now;
   if (page.revision.era != state.configuration_revision.era) return;
-  TakeConfigurationNews(state, page.newer_configuration, page.revision, page.current_at, now);
+  ApplyConfigurationStatus(state, page.newer_configuration, page.revision, page.current_at, now);
 }
 
-void Take(State& state, const ConfigurationTaken&) {
-  if (!state.told) return;
+void Apply(State& state, const ConfigurationTaken&) {
+  if (!state.announced) return;
   state.configuration_wanted = false;
-  TakeTold(state, *state.told);
+  ApplyAnnounced(state, *state.announced);
 }
 
-void Take(State& state, const ServersTaken& taken) {
-  // A read of the store meanwhile, or under way, shows more.
+void Apply(State& state, const ServersTaken& taken) {
+  // A read of the store that finished meanwhile or is in progress has newer data.
   const bool listing = state.reading_since && ListsServers(state.reading);
   if (listing || (state.listed && taken.revision < state.revision)) return;
   state.listed = true;
-  state.in_parts = false;
+  state.partially_updated = false;
   state.revision = taken.revision;
   state.current_at = std::max(state.current_at, taken.current_at);
-  state.changes_unread = false;
+  state.changes_unavailable = false;
   state.urgent = false;
 }
 
-Milliseconds LongestAge(const Settings& settings, const State& state) {
-  return state.watches ? settings.watcher_age : settings.longest_age;
+Milliseconds MaxAge(const Settings& settings, const State& state) {
+  return state.watches ? settings.max_watcher_age : settings.max_age;
 }
 
-/// @return whether servers come from relays, or may.
-bool LeavesServers(const State& state) {
+/// @return whether servers come from relays, or may do so once relays are named.
+bool MayUseRelays(const State& state) {
   if (state.watches) return false;
-  return state.relayed || (state.begun && !state.listed);
+  return state.relayed || (state.first_page_applied && !state.listed);
 }
 
-/// @return when the store is to be read for servers.
+/// @return when to read servers from the store.
 Time ServersDue(const Settings& settings, const State& state) {
-  const Time heard = std::max(state.watcher_heard_at, state.relayed_since);
-  if (!state.listed && LeavesServers(state)) {
-    const Time patience = state.relayed ? heard + settings.listing_patience : Time{};
-    return std::max(state.servers_not_before, patience);
+  const Time heard = std::max(state.watcher_heard_at, state.relays_known_since);
+  if (!state.listed && MayUseRelays(state)) {
+    const Time earliest = state.relayed ? heard + settings.listing_delay : Time{};
+    return std::max(state.servers_not_before, earliest);
   }
   if (!state.listed) return Time{};
-  Time due = state.current_at + LongestAge(settings, state);
-  if (LeavesServers(state)) return std::max(due, heard + settings.relay_patience);
-  if (state.urgent) due = std::min(due, state.urgent_not_before);
+  Time due = state.current_at + MaxAge(settings, state);
+  if (MayUseRelays(state)) return std::max(due, heard + settings.relay_timeout);
+  if (state.urgent) due = std::min(due, state.urgent_read_not_before);
   return due;
 }
 
 Time ConfigurationDue(const Settings& settings, const State& state) {
-  const Time due = state.configuration_at + LongestAge(settings, state);
+  const Time due = state.configuration_at + MaxAge(settings, state);
   if (!state.configuration_wanted) return due;
   const bool from_relay = WantsConfiguration(state);
-  const Time patience = from_relay ? state.wanted_since + settings.configuration_patience : Time{};
-  return std::min(due, std::max(state.urgent_not_before, patience));
+  const Time earliest =
+      from_relay ? state.configuration_wanted_since + settings.configuration_relay_timeout : Time{};
+  return std::min(due, std::max(state.urgent_read_not_before, earliest));
 }
 
 bool ListingIsSmaller(const State& state, Time now) {
@@ -240,73 +242,77 @@
 
 bool WantsConfiguration(const State& state) {
   if (!state.relayed || state.watches || !state.configuration_wanted) return false;
-  return state.told && state.told->revision > state.configuration_revision;
+  return state.announced && state.announced->revision > state.configuration_revision;
 }
 
 Decision Reduce(const Settings& settings, State state, const Event& event, Time now) {
   Decision decision{state, false};
-  if (const auto* begun = std::get_if<ReadBegun>(&event))
-    Take(decision.state, *begun, now);
+  if (const auto* read_begun = std::get_if<ReadBegun>(&event))
+    Apply(decision.state, *read_begun, now);
   else if (const auto* ended = std::get_if<ReadEnded>(&event))
-    Take(settings, decision.state, *ended, now);
+    Apply(settings, decision.state, *ended, now);
   else if (const auto* failed = std::get_if<ReadFailed>(&event))
-    Take(decision.state, *failed, now);
+    Apply(decision.state, *failed, now);
   else if (const auto* relayed = std::get_if<Relayed>(&event))
-    decision.apply = Take(decision.state, *relayed, now);
-  else if (const auto* told = std::get_if<EraTold>(&event))
-    Take(decision.state, *told);
+    decision.apply = Apply(decision.state, *relayed, now);
+  else if (const auto* observed = std::get_if<EraObserved>(&event))
+    Apply(decision.state, *observed);
   else if (const auto* page = std::get_if<FirstPageEnded>(&event))
-    TakeFirstPage(settings, decision.state, *page, now);
-  else if (const auto* relays = std::get_if<RelaysTold>(&event))
-    Take(settings, decision.state, *relays, now);
+    ApplyFirstPage(settings, decision.state, *page, now);
+  else if (const auto* relays = std::get_if<RelaysChanged>(&event))
+    Apply(settings, decision.state, *relays, now);
   else if (const auto* servers = std::get_if<ServersPageTaken>(&event))
-    Take(decision.state, *servers, now);
+    Apply(decision.state, *servers, now);
   else if (const auto* configuration = std::get_if<ConfigurationTaken>(&event))
-    Take(decision.state, *configuration);
+    Apply(decision.state, *configuration);
   else if (const auto* taken = std::get_if<ServersTaken>(&event))
-    Take(decision.state, *taken);
+    Apply(decision.state, *taken);
   else
-    decision.state.watches = std::get<RoleTaken>(event).watches;
+    decision.state.watches = std::get<RoleChanged>(event).watches;
   return decision;
 }
 
 Time NextRead(const Settings& settings, const State& state) {
   if (state.reading_since) return Time::max();
-  // A clock that began with the machine may show less than the age.
-  if (!state.listed && !state.begun) return state.not_before;
-  const bool other_half = state.narrow && state.configuration_wanted;
-  if (other_half) return state.not_before;
+  // The clock counts from machine start, so its value may be less than the maximum age.
+  if (!state.listed && !state.first_page_applied) return state.retry_not_before;
+  const bool configuration_read_pending = state.split_reads && state.configuration_wanted;
+  if (configuration_read_pending) return state.retry_not_before;
   const Time due = std::min(ServersDue(settings, state), ConfigurationDue(settings, state));
-  return std::max(due, state.not_before);
+  return std::max(due, state.retry_not_before);
 }
 
-Milliseconds LongestPause(const Settings& settings, const State& state, Time now) {
-  const bool heard = now - state.watcher_heard_at < settings.watcher_silence;
-  const bool watcher_behind = now - state.watcher_current_at > settings.longest_age;
-  const bool together = !state.watches && heard && watcher_behind;
-  return together ? std::max(settings.longest_pause, settings.longest_age) : settings.longest_pause;
+Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now) {
+  const bool heard = now - state.watcher_heard_at < settings.watcher_timeout;
+  const bool watcher_behind = now - state.watcher_current_at > settings.max_age;
+  const bool store_unreachable_for_all = !state.watches && heard && watcher_behind;
+  return store_unreachable_for_all ? std::max(settings.max_retry_delay, settings.max_age)
+                                   : settings.max_retry_delay;
 }
 
 bool WantsServers(const State& state) {
   if (!state.relayed || state.watches) return false;
   const bool listing = state.reading_since && ListsServers(state.reading);
-  return !listing && (!state.listed || state.urgent || state.changes_unread);
+  return !listing && (!state.listed || state.urgent || state.changes_unavailable);
 }
 
 ReadKind NextReadKind(const Settings& settings, const State& state, Time now) {
-  // Halves take turns: news of servers, one after the other, would keep the configuration waiting.
-  const bool other_half = state.narrow && state.configuration_wanted;
-  if (other_half && state.configuration_at < state.current_at) return ReadKind::kConfiguration;
-  const bool old = now >= state.current_at + LongestAge(settings, state);
-  const bool servers = LeavesServers(state) ? now >= ServersDue(settings, state)
-                                            : !state.listed || state.urgent || old;
-  const bool told = state.told && state.told->revision > state.configuration_revision;
-  if (!servers && told && !state.told_missed) return ReadKind::kToldConfiguration;
+  // Alternates between the two reads; continuous server changes would starve the configuration.
+  const bool configuration_read_pending = state.split_reads && state.configuration_wanted;
+  if (configuration_read_pending && state.configuration_at < state.current_at)
+    return ReadKind::kConfiguration;
+  const bool old = now >= state.current_at + MaxAge(settings, state);
+  const bool servers = MayUseRelays(state) ? now >= ServersDue(settings, state)
+                                           : !state.listed || state.urgent || old;
+  const bool announced =
+      state.announced && state.announced->revision > state.configuration_revision;
+  if (!servers && announced && !state.announced_missed) return ReadKind::kAnnouncedConfiguration;
   if (!servers) return ReadKind::kConfiguration;
-  if (state.narrow) return ReadKind::kServers;
-  // Changes since a revision that was relayed leave out configurations before it.
-  const bool changes_show_all = state.listed && !state.changes_unread && state.ConfigurationKept();
-  // What changed while relays were followed was never measured: a listing is bounded.
+  if (state.split_reads) return ReadKind::kServers;
+  // Changes since a relayed revision omit configurations from before that revision.
+  const bool changes_show_all =
+      state.listed && !state.changes_unavailable && state.ConfigurationIsCurrent();
+  // The change rate was not measured while relays were in use; the size of a listing is bounded.
   const bool measured = !state.relayed || state.watches;
   if (!changes_show_all || !measured || ListingIsSmaller(state, now)) return ReadKind::kListing;
   return ReadKind::kChanges;
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -5,22 +5,22 @@
 namespace moorfold {
 
 namespace {
-/// A page takes some milliseconds on its way: one that takes longer is lost, or its relay is slow.
-constexpr std::chrono::milliseconds kAskAgain{300};
+/// A page takes a few milliseconds in transit; after this delay it is lost or the relay is slow.
+constexpr std::chrono::milliseconds kRetryInterval{300};
 }  // namespace
 
-std::optional<ServersQuestion> SnapshotReader::Due(Time now) {
+std::optional<ServersRequest> SnapshotReader::Due(Time now) {
   if (!running_) return std::nullopt;
   const bool open = asked_at_us_ || (declined_ && after_.empty());
-  if (open && now - sent_at_ < kAskAgain) return std::nullopt;
+  if (open && now - sent_at_ < kRetryInterval) return std::nullopt;
   sent_at_ = now;
-  // Asked again, it is the same question: a relay that is slow is answered by its first answer.
+  // A retry repeats the same request, so that the first answer of a slow relay still matches.
   if (!asked_at_us_) {
     asked_at_ = now;
     asked_at_us_ =
         std::chrono::duration_cast<std::chrono::microseconds>(now.time_since_epoch()).count();
   }
-  return ServersQuestion{*asked_at_us_, after_};
+  return ServersRequest{*asked_at_us_, after_};
 }
 
 bool SnapshotReader::Continues(const ServersPage& page, const std::string& from) const {
@@ -28,21 +28,21 @@
   return from == relay_ && page.revision.era == revision_.era && page.revision >= revision_;
 }
 
-SnapshotReader::Taken SnapshotReader::Take(const ServersPage& page, const std::string& from) {
+SnapshotReader::PageResult SnapshotReader::Take(const ServersPage& page, const std::string& from) {
   const bool asked = running_ && asked_at_us_ == page.asked_at_us && page.after == after_;
-  if (!asked) return Taken::kIgnored;
+  if (!asked) return PageResult::kIgnored;
   if (!page.relays) {
-    // Asked again after the usual pause, from the beginning: another relay may answer then.
+    // Restarts from the first page after the retry interval: another relay may answer then.
     const Time sent_at = sent_at_;
     Begin();
     sent_at_ = sent_at;
     declined_ = true;
-    return Taken::kDeclined;
+    return PageResult::kDeclined;
   }
   const bool endless = page.more && page.last <= page.after;
   if (endless || !Continues(page, from)) {
     Begin();
-    return Taken::kIgnored;
+    return PageResult::kIgnored;
   }
   if (relay_.empty()) {
     relay_ = from;
@@ -54,10 +54,10 @@
   declined_ = false;
   if (!page.more) {
     running_ = false;
-    return Taken::kWhole;
+    return PageResult::kLastPage;
   }
   after_ = page.last;
-  return Taken::kPage;
+  return PageResult::kPage;
 }
 
 }  // namespace moorfold
--- a/test/gateway/store_view_test.cc
+++ b/test/gateway/store_view_test.cc
@@ -111,7 +111,7 @@
   CHECK(fixture.metrics.store_read.count() - reads < 100);  // Reads stay within their usual rate.
   // No request waits for a read that cannot help.
   CHECK_FALSE(fixture.view.ShouldAwaitRead(fixture.view.servers_current_at));
-  const std::optional<ChangeQuestion> question = fixture.store_view.MakeChangeQuestion();
+  const std::optional<ChangeRequest> question = fixture.store_view.MakeChangeQuestion();
   REQUIRE(question);
   CHECK(fixture.store_view.MakeChangeAnswer(*question, 2, false).age_us > 400'000);
   fixture.PutVersion(3);  // Readable again, with the same version.
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -1,7 +1,7 @@
-// A whole fleet that follows its store, in virtual time and one process: the shipped decisions on
-// reads, relays and pages, with what reads and messages weigh reckoned from their sizes. Shows what
-// a start, a lost relay and a store that turns daemons away cost, at sizes up to twice the
-// largest that is served, and that the same fleet without relays does not come up.
+// Simulates a whole fleet and its store in virtual time and one process. It runs the production
+// logic for reads, relays and pages, and models the cost of reads and messages from their sizes.
+// Measures the cost of a start, of lost relays and of a store that refuses reads, for fleets up to
+// twice the largest supported size, and shows that the same fleet does not start without relays.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -22,29 +22,29 @@
 using std::chrono::seconds;
 
 constexpr Time kStart{seconds(1'000)};
-constexpr int kServersOfDaemon = 10;
+constexpr int kServersPerDaemon = 10;
 constexpr int kZones = 6;
-constexpr int kStrongOfZone = 10;
+constexpr int kStrongDaemonsPerZone = 10;
 constexpr double kStoreBytesPerS = 125e6;
 constexpr double kStrongBytesPerS = 25e6;
 constexpr double kWeakBytesPerS = 2.5e6;
 constexpr double kEntryBytes = 450;
 constexpr double kPageEntries = 500;
 constexpr double kConfigurationBytes = 60e3;
-constexpr double kBeatsPerServerPerS = 1 / 1.2;
-constexpr double kEntryCpuS = 10e-6;  ///< Of a whole core, to read one entry of an answer.
-constexpr double kStrongShare = 0.5;
-constexpr double kWeakShare = 0.12;
-constexpr int kServersOfDatagram = 34;
+constexpr double kHeartbeatsPerServerPerS = 1 / 1.2;
+constexpr double kEntryCpuS = 10e-6;  ///< On a full core, to decode one entry of an answer.
+constexpr double kStrongCoreShare = 0.5;
+constexpr double kWeakCoreShare = 0.12;
+constexpr int kServersPerDatagram = 34;
 constexpr double kDatagramBytes = 7e3;
 constexpr double kDatagramCpuS = 80e-6;
-constexpr milliseconds kWay{1};
-constexpr milliseconds kAskEvery{500};
-constexpr milliseconds kBound{5'000};
+constexpr milliseconds kNetworkDelay{1};
+constexpr milliseconds kRequestInterval{500};
+constexpr milliseconds kMaxDataAge{5'000};
 
 follow::Settings FleetSettings() {
   follow::Settings settings{milliseconds(2'750), milliseconds(500), milliseconds(1'750)};
-  settings.relay_patience = milliseconds(3'500);
+  settings.relay_timeout = milliseconds(3'500);
   return settings;
 }
 
@@ -56,32 +56,32 @@
   int zone = 0;
   bool strong = false;
   bool alive = true;
-  bool refused = false;  ///< The store turns it away.
+  bool refused = false;  ///< The store refuses its reads.
   bool read_failed = false;
   follow::State state;
   std::unique_ptr<RelaySources> sources;
   SnapshotReader snapshot;
-  int page = 0;  ///< Of the snapshot, the next.
+  int page = 0;  ///< Next page of the snapshot.
   Time busy_until{};
   double store_bytes = 0;
   double datagram_bytes = 0;
   Time listed_at{};
   Time configured_at{};
-  std::uint64_t reading = 0;  ///< Number of the read under way.
-  std::uint64_t reads = 0;    ///< Wakes the read that was planned last, no earlier one.
+  std::uint64_t reading = 0;  ///< Number of the read in progress.
+  std::uint64_t reads = 0;    ///< Number of the last scheduled read; earlier ones are ignored.
 };
 
 struct Fleet {
   /// @param registered when the servers write their entries.
   Fleet(int size, bool with_relays, Time registered = {})
-      : relays_used(with_relays), registered_at(registered), servers(size * kServersOfDaemon) {
+      : relays_used(with_relays), registered_at(registered), servers(size * kServersPerDaemon) {
     for (int number = 0; number < size; ++number) {
       auto daemon = std::make_unique<Daemon>();
       daemon->name = "edge-" + std::to_string(number);
       daemon->address =
           "10.0." + std::to_string(number / 256) + "." + std::to_string(number % 256) + ":7000";
       daemon->zone = number % kZones;
-      daemon->strong = number < kZones * kStrongOfZone;
+      daemon->strong = number < kZones * kStrongDaemonsPerZone;
       daemon->sources = std::make_unique<RelaySources>(
           daemon->address, ZoneIdOf("zone-" + std::to_string(daemon->zone)));
       daemons.push_back(std::move(daemon));
@@ -91,7 +91,7 @@
       At(now + milliseconds(Hash(each->name) % 300), [this, each] { ReadWhenDue(*each); });
       At(now + milliseconds(500 + Hash(each->name) % 500), [this, each] { Ask(*each); });
     }
-    // The leader has won by then and has counted who reports.
+    // By then a leader is elected and has received the reports.
     At(now + milliseconds(2'500), [this] { MakePlan(); });
   }
   static std::uint64_t Hash(const std::string& text) { return std::hash<std::string>{}(text); }
@@ -112,10 +112,10 @@
   // --- The store.
   std::int64_t Revision() const {
     const double s = std::chrono::duration<double>(now - kStart).count();
-    return 1 + static_cast<std::int64_t>(s * servers * kBeatsPerServerPerS);
+    return 1 + static_cast<std::int64_t>(s * servers * kHeartbeatsPerServerPerS);
   }
   double BytesOf(const Daemon& daemon, ReadKind kind) const {
-    const bool first = !daemon.state.listed && !daemon.state.begun;
+    const bool first = !daemon.state.listed && !daemon.state.first_page_applied;
     switch (kind) {
       case ReadKind::kListing:
         return first ? kConfigurationBytes + kPageEntries * kEntryBytes
@@ -125,7 +125,7 @@
       case ReadKind::kChanges:
         return static_cast<double>(Revision() - daemon.state.revision.number) * kEntryBytes;
       case ReadKind::kConfiguration:
-      case ReadKind::kToldConfiguration:
+      case ReadKind::kAnnouncedConfiguration:
         return kConfigurationBytes;
     }
     return 0;
@@ -146,7 +146,7 @@
   }
   void Read(Daemon& daemon) {
     const ReadKind kind = follow::NextReadKind(settings, daemon.state, now);
-    const bool first = !daemon.state.listed && !daemon.state.begun;
+    const bool first = !daemon.state.listed && !daemon.state.first_page_applied;
     Decide(daemon, follow::ReadBegun{kind});
     daemon.read_failed = daemon.refused;
     if (daemon.refused) {
@@ -168,14 +168,14 @@
     double bytes;
     std::uint64_t number;
   };
-  /// Page after page, as long as the read is wanted.
+  /// Reads page by page until the read is complete or abandoned.
   void ReadPage(Daemon& daemon, const ReadUnderWay& read, double left) {
     const double bytes = std::min(left, kConfigurationBytes + kPageEntries * kEntryBytes);
     daemon.store_bytes += bytes;
     store_bytes += bytes;
     store_free = std::max(store_free, now) + Seconds(bytes / kStoreBytesPerS);
     const double link = daemon.strong ? kStrongBytesPerS : kWeakBytesPerS;
-    const double share = daemon.strong ? kStrongShare : kWeakShare;
+    const double share = daemon.strong ? kStrongCoreShare : kWeakCoreShare;
     const Time arrives = store_free + Seconds(bytes / link);
     const milliseconds work = Seconds(bytes / kEntryBytes * kEntryCpuS / share);
     daemon.busy_until = std::max(daemon.busy_until, now) + work;
@@ -190,7 +190,7 @@
   void EndRead(Daemon& daemon, const ReadUnderWay& read) {
     if (read.first_page) {
       Decide(daemon, follow::FirstPageEnded{{0, read.revision}});
-      if (!relays_used) Decide(daemon, follow::RelaysTold{false});
+      if (!relays_used) Decide(daemon, follow::RelaysChanged{false});
       if (plan.number > 0) ApplyPlan(daemon);
     } else {
       const bool changes = read.kind == ReadKind::kChanges;
@@ -207,13 +207,13 @@
     for (const auto& daemon : daemons)
       if (daemon->alive)
         planner.Note({daemon->address, ZoneIdOf("zone-" + std::to_string(daemon->zone)),
-                      daemon->strong ? kStrongShare : kWeakShare, false, true},
+                      daemon->strong ? kStrongCoreShare : kWeakCoreShare, false, true},
                      now);
     const RelayPlan next = planner.Plan(plan, kStart, now);
     if (next.number != plan.number) {
       plan = next;
       for (const auto& daemon : daemons)
-        if (daemon->state.begun || daemon->state.listed) ApplyPlan(*daemon);
+        if (daemon->state.first_page_applied || daemon->state.listed) ApplyPlan(*daemon);
     }
     At(now + seconds(1), [this] { MakePlan(); });
   }
@@ -223,11 +223,11 @@
     Pull(daemon);
   }
   void TakeRole(Daemon& daemon) {
-    daemon.sources->SetPatient(!daemon.state.listed);
-    daemon.sources->NoteOwnReads(daemon.read_failed, now);
+    daemon.sources->SetLearning(!daemon.state.listed);
+    daemon.sources->RecordOwnReads(daemon.read_failed, now);
     const bool watches = daemon.sources->Watches(now);
-    if (watches != daemon.state.watches) Decide(daemon, follow::RoleTaken{watches});
-    Decide(daemon, follow::RelaysTold{plan.needed() && !watches});
+    if (watches != daemon.state.watches) Decide(daemon, follow::RoleChanged{watches});
+    Decide(daemon, follow::RelaysChanged{plan.needed() && !watches});
     ReadWhenDue(daemon);
   }
   Daemon* Find(const std::string& address) {
@@ -235,12 +235,13 @@
       if (daemon->address == address) return daemon.get();
     return nullptr;
   }
-  /// One question and its answer, which takes the relay's time.
+  /// Models one request and its answer, including the relay's processing time.
   void Send(Daemon& from, Daemon& to, double bytes, std::function<void()> answered) {
-    to.busy_until = std::max(to.busy_until, now + kWay) + Seconds(kDatagramCpuS / kStrongShare);
+    to.busy_until =
+        std::max(to.busy_until, now + kNetworkDelay) + Seconds(kDatagramCpuS / kStrongCoreShare);
     to.datagram_bytes += bytes;
     from.datagram_bytes += bytes;
-    At(to.busy_until + kWay, [&from, &to, answered = std::move(answered)] {
+    At(to.busy_until + kNetworkDelay, [&from, &to, answered = std::move(answered)] {
       if (to.alive && from.alive) answered();
     });
   }
@@ -250,52 +251,52 @@
       daemon.snapshot.Begin();
       daemon.page = 0;
     }
-    const std::optional<ServersQuestion> question = daemon.snapshot.Due(now);
+    const std::optional<ServersRequest> request = daemon.snapshot.Due(now);
     Daemon* relay = Find(daemon.sources->Current(now));
-    if (!question || relay == nullptr) return;
-    daemon.sources->Asked(now);
+    if (!request || relay == nullptr) return;
+    daemon.sources->RecordRequest(now);
     Send(daemon, *relay, kDatagramBytes,
-         [this, &daemon, relay, asked = *question] { AnswerPage(daemon, *relay, asked); });
+         [this, &daemon, relay, asked = *request] { AnswerPage(daemon, *relay, asked); });
     At(now + milliseconds(300), [this, &daemon] { Pull(daemon); });
   }
-  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersQuestion& asked) {
+  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersRequest& asked) {
     ServersPage page;
     page.asked_at_us = asked.asked_at_us;
     page.after = asked.after;
     page.relays =
-        plan.Names(relay.address) && relay.state.listed && relay.state.ConfigurationKept();
+        plan.Names(relay.address) && relay.state.listed && relay.state.ConfigurationIsCurrent();
     page.revision = relay.state.revision;
     page.age_us =
         std::chrono::duration_cast<std::chrono::microseconds>(now - relay.state.current_at).count();
     if (asked.after.empty()) daemon.page = 0;
     ++daemon.page;
-    page.more = daemon.page * kServersOfDatagram < servers;
+    page.more = daemon.page * kServersPerDatagram < servers;
     page.last = asked.after + "x";
     switch (daemon.snapshot.Take(page, relay.address)) {
-      case SnapshotReader::Taken::kIgnored:
+      case SnapshotReader::PageResult::kIgnored:
         return;
-      case SnapshotReader::Taken::kDeclined:
-        daemon.sources->Declined(relay.address, now);
+      case SnapshotReader::PageResult::kDeclined:
+        daemon.sources->RecordDecline(relay.address, now);
         return;
-      case SnapshotReader::Taken::kWhole:
+      case SnapshotReader::PageResult::kLastPage:
         Decide(daemon,
                follow::ServersTaken{daemon.snapshot.revision(), daemon.snapshot.current_at()});
         ReadWhenDue(daemon);
         break;
-      case SnapshotReader::Taken::kPage:
+      case SnapshotReader::PageResult::kPage:
         Decide(daemon, follow::ServersPageTaken{page.revision, false, relay.state.current_at});
         break;
     }
-    daemon.sources->Heard(relay.address, std::chrono::microseconds(0), now);
-    daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakShare);
+    daemon.sources->RecordAnswer(relay.address, std::chrono::microseconds(0), now);
+    daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakCoreShare);
     At(daemon.busy_until, [this, &daemon] { Pull(daemon); });
   }
   void Ask(Daemon& daemon) {
-    At(now + kAskEvery, [this, &daemon] { Ask(daemon); });
+    At(now + kRequestInterval, [this, &daemon] { Ask(daemon); });
     if (daemon.alive && !plan.needed() && daemon.state.listed && Registered()) {
-      // The leader, which names no relays yet, tells of a configuration, and then of more changes
-      // than it can name.
-      if (size_told) Decide(daemon, follow::RelaysTold{true});
+      // The leader has not named relays yet. It announces a configuration, and then answers with a
+      // gap because of too many changes.
+      if (size_told) Decide(daemon, follow::RelaysChanged{true});
       const StoreRevision known = daemon.state.revision;
       const StoreRevision configured{0, known.number + 1};
       Decide(daemon, follow::Relayed{false, false, known, configured, true, now});
@@ -303,21 +304,21 @@
       ReadWhenDue(daemon);
     }
     if (!daemon.alive || !plan.needed()) return;
-    if (daemon.state.begun || daemon.state.listed) TakeRole(daemon);
+    if (daemon.state.first_page_applied || daemon.state.listed) TakeRole(daemon);
     if (daemon.state.watches || !daemon.state.listed) return;
     Daemon* relay = Find(daemon.sources->Current(now));
     if (relay == nullptr) return;
-    daemon.sources->Asked(now);
+    daemon.sources->RecordRequest(now);
     const Time asked_at = now;
     const StoreRevision known = daemon.state.revision;
     Send(daemon, *relay, 500, [this, &daemon, relay, asked_at, known] {
-      if (!relay->state.listed || !relay->state.ConfigurationKept()) {
-        daemon.sources->Declined(relay->address, now);
+      if (!relay->state.listed || !relay->state.ConfigurationIsCurrent()) {
+        daemon.sources->RecordDecline(relay->address, now);
         return;
       }
       const auto age = now - std::min(relay->state.current_at, relay->state.configuration_at);
-      daemon.sources->Heard(relay->address,
-                            std::chrono::duration_cast<std::chrono::microseconds>(age), now);
+      daemon.sources->RecordAnswer(relay->address,
+                                   std::chrono::duration_cast<std::chrono::microseconds>(age), now);
       const Time current_at = asked_at - age;
       follow::Relayed answer{false, false, known, relay->state.revision, false, current_at};
       Decide(daemon, answer);
@@ -326,7 +327,7 @@
     });
   }
 
-  // --- What came of it.
+  // --- Results.
   double AllListedAfterS() const { return LatestS(&Daemon::listed_at); }
   double AllConfiguredAfterS() const { return LatestS(&Daemon::configured_at); }
   double LatestS(Time Daemon::*moment) const {
@@ -336,7 +337,7 @@
         latest = std::max(latest, (*daemon).*moment == Time{} ? Time::max() : (*daemon).*moment);
     return std::chrono::duration<double>(latest - kStart).count();
   }
-  milliseconds OldestKnowledge() const {
+  milliseconds MaxDataAge() const {
     milliseconds oldest{0};
     for (const auto& daemon : daemons)
       if (daemon->alive)
@@ -344,12 +345,12 @@
                           std::chrono::duration_cast<milliseconds>(now - daemon->state.current_at));
     return oldest;
   }
-  /// The oldest at any time until then, looked at ten times a second.
-  milliseconds OldestUntil(Time end) {
+  /// @return the maximum data age until `end`, sampled ten times a second.
+  milliseconds MaxDataAgeUntil(Time end) {
     milliseconds oldest{0};
     while (now < end) {
       RunUntil(now + milliseconds(100));
-      oldest = std::max(oldest, OldestKnowledge());
+      oldest = std::max(oldest, MaxDataAge());
     }
     return oldest;
   }
@@ -363,7 +364,7 @@
     }
   };
   bool relays_used;
-  bool size_told = false;  ///< The leader's answers tell how many daemons there are.
+  bool size_told = false;  ///< The leader's answers include the fleet size.
   Time registered_at;
   double servers;
   follow::Settings settings = FleetSettings();
@@ -380,19 +381,19 @@
 
 constexpr seconds kTrafficAfter{24};
 
-TEST_CASE("A whole fleet that starts at once is ready in time, also at twice the size") {
+TEST_CASE("A whole fleet that starts at once is ready in time, also at twice the supported size") {
   const int size = GENERATE(250, 500, 1'000, 2'000);
   CAPTURE(size);
   Fleet fleet(size, true);
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllConfiguredAfterS() < 8);
   CHECK(fleet.AllListedAfterS() < 24);
-  // At most 60% of what the store's link carries in that time; at twice the size, all of it.
+  // At most 60% of the store's link capacity in that time; at twice the supported size, all of it.
   CHECK(fleet.store_bytes < (size > 1'000 ? 1 : 0.6) * kStoreBytesPerS * 24);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-/// Of all daemons but relays.
+/// @return the most bytes that any daemon other than a relay read from the store.
 double MostReadFromStore(const Fleet& fleet) {
   double most = 0;
   for (const auto& daemon : fleet.daemons)
@@ -400,33 +401,35 @@
   return most;
 }
 
-TEST_CASE("A listing of all servers that began before relays were named is not read to its end") {
+TEST_CASE("A listing that started before relays were named is abandoned") {
   Fleet fleet(1'000, true, kStart + milliseconds(600));
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllConfiguredAfterS() < 8);
   CHECK(fleet.store_bytes < 0.6 * kStoreBytesPerS * 24);
   CHECK(MostReadFromStore(fleet) < 0.5 * fleet.servers * kEntryBytes);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-TEST_CASE("Daemons that are told of a large fleet list no servers while its relays are chosen") {
+TEST_CASE(
+    "Daemons that know the fleet is large do not list servers while relays are being chosen") {
   Fleet fleet(1'000, true, kStart + milliseconds(600));
   fleet.size_told = true;
   fleet.RunUntil(kStart + seconds(6));
   CHECK(MostReadFromStore(fleet) < 3 * (kConfigurationBytes + kPageEntries * kEntryBytes));
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.store_bytes < 0.6 * kStoreBytesPerS * 24);
-  CHECK(fleet.OldestKnowledge() < kBound);
+  CHECK(fleet.MaxDataAge() < kMaxDataAge);
 }
 
-TEST_CASE("Without relays a large fleet does not come up: what it reads grows with its square") {
+TEST_CASE(
+    "Without relays a large fleet does not start in time: reads grow with the square of its size") {
   Fleet fleet(1'000, false);
   fleet.RunUntil(kStart + kTrafficAfter);
   CHECK(fleet.AllListedAfterS() > 24);
-  CHECK(fleet.AllConfiguredAfterS() < 8);  // The configuration waits for nothing.
+  CHECK(fleet.AllConfiguredAfterS() < 8);  // The configuration does not wait for servers.
 }
 
-TEST_CASE("What one daemon moves does not grow with the fleet, and the store serves its relays") {
+TEST_CASE("Traffic per daemon does not grow with the fleet, and the store can serve the relays") {
   double least = 0;
   for (const int size : {500, 1'000, 2'000}) {
     CAPTURE(size);
@@ -445,13 +448,13 @@
     }
     if (least == 0) least = most;
     CHECK(most < 1.5 * least);
-    CHECK(most < 11e3);  // The budget for control, bytes a second.
+    CHECK(most < 11e3);  // Budget for control traffic in bytes/s.
     CHECK((fleet.store_bytes - store_before) / 20 < 0.6 * kStoreBytesPerS);
   }
 }
 
 TEST_CASE(
-    "Lost relays, and a store that turns a third of the daemons away, age nobody's knowledge") {
+    "Lost relays, or a store that refuses a third of the daemons, do not make any data too old") {
   Fleet fleet(1'000, true);
   fleet.RunUntil(kStart + seconds(30));
   const double before = fleet.store_bytes;
@@ -467,7 +470,7 @@
     for (std::size_t at = 0; at < fleet.daemons.size(); ++at)
       fleet.daemons[at]->refused = at % 3 == 0;
   }
-  CHECK(fleet.OldestUntil(kStart + seconds(45)) < kBound);
+  CHECK(fleet.MaxDataAgeUntil(kStart + seconds(45)) < kMaxDataAge);
   CHECK((fleet.store_bytes - before) / 15 < 0.6 * kStoreBytesPerS);
 }
 
--- a/test/relay/relay_fixture.h
+++ b/test/relay/relay_fixture.h
@@ -14,14 +14,14 @@
 
 /// A daemon's view of a shared store.
 struct Member {
-  /// @param page_entries of the store's first page; 0: it holds all.
-  Member(boost::asio::io_context& context, KeyValueTable& table,
-         std::chrono::milliseconds longest_age, std::size_t page_entries = 0)
+  /// @param page_entries size of the store's first page; 0: unlimited.
+  Member(boost::asio::io_context& context, KeyValueTable& table, std::chrono::milliseconds max_age,
+         std::size_t page_entries = 0)
       : store(context, table),
         log(-1, {}),
         view(context.get_executor()),
         store_view(context, store, protocol, view, metrics, log,
-                   {longest_age, std::chrono::milliseconds(10), std::chrono::milliseconds(10)}) {
+                   {max_age, std::chrono::milliseconds(10), std::chrono::milliseconds(10)}) {
     store.page_entries = page_entries;
     store_view.Start(
         "moorfold/leader", [](const std::optional<KeyValue>&, StoreRevision) {},
@@ -52,18 +52,18 @@
   table.Transact(transaction);
 }
 
-/// A configuration and a server.
-inline KeyValueTable StockedTable() {
+/// Contains one configuration and one server.
+inline KeyValueTable InitialTable() {
   KeyValueTable table;
   PutInto(table, "op/config", R"({"version":3,"routes":[],"services":[]})");
   PutInto(table, "servers/i-1", ServerText("ready", ""));
   return table;
 }
 
-/// A watcher, and a follower that would not read the store by itself for an hour.
+/// A watcher, and a follower whose maximum age of one hour prevents periodic reads.
 struct RelayFixture {
   RelayFixture()
-      : table(StockedTable()),
+      : table(InitialTable()),
         watcher(context, table, std::chrono::milliseconds(20)),
         follower(context, table, std::chrono::hours(1)) {
     REQUIRE(RunUntil([&] { return watcher.Version() == 3 && follower.Version() == 3; }));
@@ -78,18 +78,18 @@
   void PutServer(const std::string& id, const std::string& state, const std::string& models) {
     Put("servers/" + id, ServerText(state, models));
   }
-  /// One question and its answer.
-  /// @param parts whether the follower takes parts of what has changed.
+  /// Sends one request to the watcher and takes its answer.
+  /// @param parts whether the follower accepts partial answers.
   ChangeAnswer Exchange(bool parts = false) {
-    const std::optional<ChangeQuestion> question = follower.store_view.MakeChangeQuestion();
-    REQUIRE(question);
-    ChangeAnswer answer = watcher.store_view.MakeChangeAnswer(*question, 20, parts);
+    const std::optional<ChangeRequest> request = follower.store_view.MakeChangeQuestion();
+    REQUIRE(request);
+    ChangeAnswer answer = watcher.store_view.MakeChangeAnswer(*request, 20, parts);
     follower.store_view.TakeAnswer(answer);
     return answer;
   }
   bool RunUntil(const std::function<bool()>& done,
-                std::chrono::milliseconds patience = std::chrono::milliseconds(20'000)) {
-    const auto give_up = BootClock::now() + patience;
+                std::chrono::milliseconds timeout = std::chrono::milliseconds(20'000)) {
+    const auto give_up = BootClock::now() + timeout;
     while (!done() && BootClock::now() < give_up) {
       watcher.store.Deliver();
       follower.store.Deliver();
@@ -99,8 +99,8 @@
     }
     return done();
   }
-  /// Until the watcher has what was put before.
-  void Settle() {
+  /// Waits until the watcher has all earlier writes.
+  void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     PutServer(marker, "ready", "");
     REQUIRE(RunUntil([&] { return watcher.Record(marker) != nullptr; }));
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -10,32 +10,32 @@
 
 constexpr const char* kModel = R"({"name":"m","version":1,"adapters":["a1"]})";
 
-TEST_CASE("A follower learns of servers from the watcher and does not read the store") {
+TEST_CASE("A follower gets servers from the watcher and does not read the store") {
   RelayFixture fixture;
   fixture.PutServer("i-2", "ready", kModel);
   fixture.PutServer("i-1", "draining", "");
-  fixture.Settle();
-  fixture.follower.store.unreachable = true;  // It needs nothing from there.
+  fixture.WaitForWatcher();
+  fixture.follower.store.unreachable = true;  // The store is not needed.
   fixture.Exchange();
   REQUIRE(fixture.follower.Record("i-2") != nullptr);
   CHECK(fixture.follower.Record("i-2")->models == std::vector<LoadedModel>{{"m", {"a1"}}});
   CHECK(fixture.follower.Record("i-2")->endpoint.port == 1);
   CHECK(fixture.follower.Record("i-1")->draining);
   fixture.Remove("servers/i-2");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   CHECK(fixture.follower.Record("i-2") == nullptr);
   CHECK(fixture.follower.metrics.relay_answers_taken == 2);
   CHECK(fixture.follower.view.ConfigurationCurrent(BootClock::now()));
 }
 
-TEST_CASE("A heartbeat that changes nothing for requests is not relayed") {
+TEST_CASE("A heartbeat without changes relevant to request routing is not relayed") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   for (int beat = 0; beat < 5; ++beat) fixture.PutServer("i-1", "ready", "");
   fixture.PutServer("i-3", "ready", "");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer answer = fixture.Exchange();
   std::vector<std::string> told;
   for (const ServerChange& change : answer.servers) told.push_back(change.record.id);
@@ -46,26 +46,26 @@
   RelayFixture fixture;
   fixture.Put("op/config", R"({"version":9,"routes":[],"services":[]})");
   fixture.PutServer("i-2", "ready", "");
-  fixture.Settle();
+  fixture.WaitForWatcher();
   CHECK(fixture.follower.Version() == 3);
   fixture.Exchange();
   REQUIRE(fixture.RunUntil([&] { return fixture.follower.Version() == 9; }));
   CHECK(fixture.follower.Record("i-2") != nullptr);
 }
 
-TEST_CASE("More changes than a datagram carries are read from the store") {
+TEST_CASE("Changes that exceed one datagram are read from the store") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   for (int server = 0; server < 20; ++server)
     fixture.PutServer("i-" + std::to_string(100 + server), "ready", kModel);
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer whole = fixture.Exchange();
   CHECK(whole.servers.size() == 21);
   CHECK(EncodeMessage(FleetMessage(whole)).size() < 8'000);
   for (int server = 0; server < 120; ++server)
     fixture.PutServer("i-" + std::to_string(200 + server), "ready", kModel);
-  fixture.Settle();
+  fixture.WaitForWatcher();
   const ChangeAnswer gap = fixture.Exchange();
   CHECK(gap.gap);
   CHECK(gap.servers.empty());
@@ -74,13 +74,13 @@
   }));
 }
 
-TEST_CASE("A follower from before the watcher's log reads the store itself") {
+TEST_CASE("A follower at a revision older than the watcher's log reads the store itself") {
   RelayFixture fixture;
   fixture.watcher.store.EndWatch();
   fixture.watcher.store.unreachable = true;
-  const std::optional<ChangeQuestion> early = fixture.follower.store_view.MakeChangeQuestion();
+  const std::optional<ChangeRequest> early = fixture.follower.store_view.MakeChangeQuestion();
   REQUIRE(early);
-  ChangeQuestion before_all = *early;
+  ChangeRequest before_all = *early;
   before_all.revision = {fixture.table.era(), 0};
   const ChangeAnswer answer = fixture.watcher.store_view.MakeChangeAnswer(before_all, 20, false);
   CHECK(answer.gap);
@@ -90,7 +90,7 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.follower.Record("i-2") != nullptr; }));
 }
 
-TEST_CASE("A sender that leads no more makes a follower look for the next leader") {
+TEST_CASE("An answer from a former leader makes a follower read the store") {
   RelayFixture fixture;
   ChangeAnswer answer;
   answer.asked_at_us = fixture.follower.store_view.MakeChangeQuestion()->asked_at_us;
@@ -102,7 +102,7 @@
 
 TEST_CASE("A watcher that is cut off from the store does not make its followers current") {
   RelayFixture fixture;
-  fixture.Settle();
+  fixture.WaitForWatcher();
   fixture.Exchange();
   const auto before = fixture.follower.view.servers_current_at;
   fixture.watcher.store.unreachable = true;
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -1,4 +1,4 @@
-// A daemon of a large fleet: it starts, and catches up, without listing all servers of the store.
+// A daemon of a large fleet starts and catches up without listing all servers from the store.
 
 #include <catch2/catch.hpp>
 
@@ -17,8 +17,7 @@
 
 std::string ServerName(int number) { return "i-" + std::to_string(1'000 + number); }
 
-/// A store with more servers than a page holds, a relay that has listed it, and a daemon that
-/// starts.
+/// A store with more servers than fit in a page, a relay that has listed it, and a starting daemon.
 struct LargeFleet {
   LargeFleet() : table(Stocked()), relay(context, table, milliseconds(20)) {
     REQUIRE(RunUntil([&] { return relay.Record(ServerName(kServers - 1)) != nullptr; }));
@@ -27,7 +26,7 @@
     REQUIRE(RunUntil([&] { return starting->Version() == 3; }));
   }
   static KeyValueTable Stocked() {
-    KeyValueTable table = StockedTable();
+    KeyValueTable table = InitialTable();
     for (int server = 0; server < kServers; ++server)
       PutInto(table, "servers/" + ServerName(server), ServerText("ready", kModel));
     return table;
@@ -40,12 +39,12 @@
     transaction.operations.emplace_back(DeleteOperation{"servers/" + id});
     table.Transact(transaction);
   }
-  /// Pages go back and forth until the daemon has all. @return how many.
+  /// Exchanges pages until the daemon has all servers. @return the number of pages.
   int TakeAllPages() {
     int pages = 0;
-    while (const std::optional<ServersQuestion> question =
+    while (const std::optional<ServersRequest> request =
                starting->store_view.NextServersQuestion()) {
-      const ServersPage page = relay.store_view.MakeServersPage(*question);
+      const ServersPage page = relay.store_view.MakeServersPage(*request);
       CHECK(EncodeMessage(FleetMessage(page)).size() < 8'000);
       starting->store_view.ApplyServersPage(page, "relay");
       ++pages;
@@ -53,14 +52,14 @@
     return pages;
   }
   ChangeAnswer Exchange() {
-    const std::optional<ChangeQuestion> question = starting->store_view.MakeChangeQuestion();
-    REQUIRE(question);
-    ChangeAnswer answer = relay.store_view.MakeChangeAnswer(*question, 1'000, true);
+    const std::optional<ChangeRequest> request = starting->store_view.MakeChangeQuestion();
+    REQUIRE(request);
+    ChangeAnswer answer = relay.store_view.MakeChangeAnswer(*request, 1'000, true);
     starting->store_view.TakeAnswer(answer);
     return answer;
   }
-  /// Until the relay has what was put before.
-  void Settle() {
+  /// Waits until the relay has all earlier writes.
+  void WaitForWatcher() {
     const std::string marker = "i-marker-" + std::to_string(++markers_);
     Put(marker, "ready");
     REQUIRE(RunUntil([&] { return relay.Record(marker) != nullptr; }));
@@ -84,37 +83,37 @@
   int markers_ = 0;
 };
 
-TEST_CASE("A configuration is in force though not one server was listed") {
+TEST_CASE("A configuration is in force before any server is listed") {
   LargeFleet fleet;
   CHECK(fleet.starting->store_view.AwaitsServers());
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
   CHECK(fleet.starting->view.servers.all().empty());
-  // Nobody has said where to ask, and nothing is asked of the store meanwhile.
+  // No relay is named yet, and the daemon does not read the store meanwhile.
   fleet.RunUntil([] { return false; }, milliseconds(200));
   CHECK(fleet.starting->store.listings() == 0);
   CHECK_FALSE(fleet.starting->store_view.NextServersQuestion());
 }
 
-TEST_CASE("A fleet that has no relays is listed at once") {
+TEST_CASE("Without relays a daemon lists the servers immediately") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(false);
   REQUIRE(fleet.RunUntil([&] { return fleet.starting->Record(ServerName(399)) != nullptr; }));
   CHECK(fleet.starting->store.listings() == 1);
 }
 
-TEST_CASE("All servers come from a relay, and what changed meanwhile after them") {
+TEST_CASE("All servers come from a relay, followed by the changes made meanwhile") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> first = fleet.starting->store_view.NextServersQuestion();
+  const std::optional<ServersRequest> first = fleet.starting->store_view.NextServersQuestion();
   REQUIRE(first);
   const ServersPage page = fleet.relay.store_view.MakeServersPage(*first);
   REQUIRE(page.more);
   fleet.starting->store_view.ApplyServersPage(page, "relay");
-  // Before and after the place that the pages have reached.
+  // Changes before and after the current page position.
   fleet.Put(ServerName(0), "draining");
   fleet.Remove(ServerName(1));
   fleet.Remove(ServerName(398));
-  fleet.Settle();
+  fleet.WaitForWatcher();
   CHECK(fleet.TakeAllPages() > 2);
   CHECK_FALSE(fleet.starting->store_view.AwaitsServers());
   CHECK(fleet.starting->Record(ServerName(398)) == nullptr);
@@ -125,27 +124,28 @@
   CHECK(fleet.starting->store.listings() == 0);
 }
 
-TEST_CASE("A relay that has not read the store itself gives nothing") {
+TEST_CASE("A relay that has not read the store itself declines") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
-  const std::optional<ServersQuestion> question = fleet.starting->store_view.NextServersQuestion();
-  REQUIRE(question);
+  const std::optional<ServersRequest> request = fleet.starting->store_view.NextServersQuestion();
+  REQUIRE(request);
   Member another(fleet.context, fleet.table, std::chrono::hours(1), kPageEntries);
-  const ServersPage page = another.store_view.MakeServersPage(*question);
+  const ServersPage page = another.store_view.MakeServersPage(*request);
   CHECK_FALSE(page.relays);
   CHECK(fleet.starting->store_view.ApplyServersPage(page, "relay") ==
-        SnapshotReader::Taken::kDeclined);
+        SnapshotReader::PageResult::kDeclined);
   CHECK(fleet.starting->store_view.AwaitsServers());
 }
 
-TEST_CASE("More changes than a datagram carries come in parts, and count as known with the last") {
+TEST_CASE(
+    "Changes that exceed one datagram come in parts, and count as complete only with the last") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
   fleet.Exchange();
   const auto known_at = fleet.starting->view.servers_current_at;
   for (int server = 0; server < 200; ++server) fleet.Put(ServerName(server), "draining");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   ChangeAnswer answer = fleet.Exchange();
   REQUIRE(answer.partial);
   CHECK(EncodeMessage(FleetMessage(answer)).size() < 8'000);
@@ -160,7 +160,7 @@
 }
 
 TEST_CASE(
-    "Where the relay's log does not reach back, its servers are taken again, not the store's") {
+    "If the relay's log does not reach back, servers are fetched again from it, not the store") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
@@ -169,7 +169,7 @@
     for (int server = 0; server < kServers; ++server)
       fleet.Put(ServerName(server) + "-" + std::to_string(round), "ready");
   fleet.Remove(ServerName(7));
-  fleet.Settle();
+  fleet.WaitForWatcher();
   CHECK(fleet.Exchange().gap);
   CHECK(fleet.TakeAllPages() > 10);
   CHECK(fleet.starting->Record(ServerName(7)) == nullptr);
@@ -177,37 +177,38 @@
   CHECK(fleet.starting->store.listings() == 0);
 }
 
-TEST_CASE("A newer configuration comes from a relay, also where the store turns the daemon away") {
+TEST_CASE(
+    "A newer configuration comes from a relay, also if the store is unreachable for the daemon") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
   fleet.Exchange();
   fleet.starting->store.unreachable = true;
   PutInto(fleet.table, "op/config", R"({"version":9,"routes":[],"services":[]})");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   fleet.Exchange();
   CHECK(fleet.starting->Version() == 3);
-  const auto question = fleet.starting->store_view.NextConfigurationQuestion();
-  REQUIRE(question);
+  const auto request = fleet.starting->store_view.NextConfigurationQuestion();
+  REQUIRE(request);
   const std::optional<ConfigurationPart> part =
-      fleet.relay.store_view.MakeConfigurationPart(*question);
+      fleet.relay.store_view.MakeConfigurationPart(*request);
   REQUIRE(part);
   fleet.starting->store_view.ApplyConfigurationPart(*part);
   CHECK(fleet.starting->Version() == 9);
   CHECK_FALSE(fleet.starting->store_view.NextConfigurationQuestion());
   fleet.Exchange();
   CHECK(fleet.starting->view.ConfigurationCurrent(BootClock::now()));
-  // Of another version than its own a relay tells nothing.
+  // A relay does not answer for a version other than its own.
   CHECK_FALSE(fleet.relay.store_view.MakeConfigurationPart({8, 0}));
 }
 
-TEST_CASE("A configuration that no relay gives is read from the store") {
+TEST_CASE("A configuration that no relay provides is read from the store") {
   LargeFleet fleet;
   fleet.starting->store_view.SetRelays(true);
   fleet.TakeAllPages();
   fleet.Exchange();
   PutInto(fleet.table, "op/config", R"({"version":9,"routes":[],"services":[]})");
-  fleet.Settle();
+  fleet.WaitForWatcher();
   fleet.Exchange();
   REQUIRE(fleet.RunUntil([&] { return fleet.starting->Version() == 9; }));
 }
