--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -38,16 +38,16 @@
 constexpr milliseconds kHousekeeping{500};
 /// A timer that is so late tells of a process that stood still or had to wait for the processor:
 /// a tenth of the time that a configuration may take where that is 2 s.
-constexpr milliseconds kStallNoted{200};
+constexpr milliseconds kStallThreshold{200};
 /// How limits are shared out is told when it changes, and so often: a datagram may be lost.
-constexpr milliseconds kTellSharing{2'000};
+constexpr milliseconds kSharingBroadcastInterval{2'000};
 constexpr milliseconds kLeaderLease{3'000};
 constexpr milliseconds kStopCheck{50};
 /// Until whoever deals connections has seen twice that this daemon is not ready.
-constexpr milliseconds kNotReadySeen{2'600};
+constexpr milliseconds kNotReadyPropagation{2'600};
 constexpr milliseconds kReserve{300};
 /// Before the end of the drain time, whatever has no answer yet gets one.
-constexpr milliseconds kLastAnswers{600};
+constexpr milliseconds kFinalAnswerMargin{600};
 /// Clients may use a connection until shortly before the configured idle time has passed.
 constexpr double kIdleMargin = 1.2;
 
@@ -108,7 +108,7 @@
       channel_(context, settings_.peer,
                {[this](const DemandReport& report) { TakeReport(report); },
                 [this](const PlacementNotice& notice, const std::string& from) {
-                  HearNotice(notice, from);
+                  ReceivePlacementNotice(notice, from);
                 },
                 [this](const ChangeAnswer& answer, const std::string& from) {
                   TakeAnswer(answer, from);
@@ -165,7 +165,7 @@
                   {settings_.name, settings_.load_window},
                   [this](const PlacementNotice& notice) {
                     TakeNotice(notice);
-                    SpreadNotice(notice);
+                    BroadcastPlacementNotice(notice);
                   }),
       quarantine_(context, QuarantineSettings(settings_), log, metrics_.quarantine,
                   QuarantinePorts()),
@@ -191,7 +191,7 @@
       contexts, settings_.readiness, HttpServerLimits{},
       [this](HttpServerExchange& exchange) { return AnswerReadiness(exchange); }, Reject);
   if (!settings_.metrics) return;
-  figures_ = std::make_unique<HttpServer>(
+  metrics_server_ = std::make_unique<HttpServer>(
       contexts, Endpoint{settings_.listen.address, settings_.metrics->port}, HttpServerLimits{},
       [this](HttpServerExchange& exchange) { return AnswerMetrics(exchange); }, Reject);
 }
@@ -205,7 +205,7 @@
                                     .Field(LogField::kPeakMemoryKb, PeakMemoryKilobytes()));
   front_->Start();
   readiness_->Start();
-  if (figures_) figures_->Start();
+  if (metrics_server_) metrics_server_->Start();
   channel_.Start();
   store_view_.Follow(quarantine_record_.key(),
                      [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
@@ -234,7 +234,7 @@
   election_.Start();
   controller_.Start();
   boost::asio::co_spawn(context_, ReportDemand(), boost::asio::detached);
-  boost::asio::co_spawn(context_, KeepHouse(), boost::asio::detached);
+  boost::asio::co_spawn(context_, RunPeriodicTasks(), boost::asio::detached);
 }
 
 void Gateway::Configure(const RoutingConfiguration& configuration) {
@@ -247,7 +247,8 @@
   limits.idle_timeout = std::chrono::duration_cast<milliseconds>(longest_idle_ * kIdleMargin);
   front_->UpdateLimits(limits);
   quota_.SetLimits(configuration.tenants);
-  if (early_record_) quarantine_.Hear(*std::exchange(early_record_, std::nullopt));
+  if (pending_quarantine_record_)
+    quarantine_.Hear(*std::exchange(pending_quarantine_record_, std::nullopt));
 }
 
 Awaitable<void> Gateway::AnswerReadiness(HttpServerExchange& exchange) {
@@ -320,7 +321,7 @@
   if (view_.routes)
     quarantine_.Hear(record);
   else
-    early_record_ = std::move(record);
+    pending_quarantine_record_ = std::move(record);
 }
 
 void Gateway::KeepQuarantine() {
@@ -388,14 +389,14 @@
   const bool changed = sharing != quota_.sharing();
   TakeSharing(sharing);
   sharing_record_.Write(sharing);
-  if (!changed && now - sharing_told_ < kTellSharing) return;
+  if (!changed && now - sharing_told_ < kSharingBroadcastInterval) return;
   sharing_told_ = now;
   channel_.Broadcast(sharing);
 }
 
 void Gateway::NoteStall(BootClock::time_point due) {
   const auto late = std::chrono::duration_cast<milliseconds>(BootClock::now() - due);
-  if (late < kStallNoted) return;
+  if (late < kStallThreshold) return;
   ++metrics_.stalls;
   metrics_.stalled_ms = std::max<std::int64_t>(metrics_.stalled_ms, late.count());
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kStalled)
@@ -404,7 +405,7 @@
                                             MillisecondsSince(view_.configuration_current_at)));
 }
 
-Awaitable<void> Gateway::KeepHouse() {
+Awaitable<void> Gateway::RunPeriodicTasks() {
   while (true) {
     const auto due = BootClock::now() + kHousekeeping;
     co_await Sleep(kHousekeeping);
@@ -447,16 +448,16 @@
 /// only what was begun is brought to its end, since later work might not end in time.
 bool Gateway::Drained(BootClock::duration elapsed) {
   if (elapsed >= settings_.drain_timeout - kReserve) return true;
-  if (elapsed < kNotReadySeen) return false;
+  if (elapsed < kNotReadyPropagation) return false;
   front_->StopAccepting();
   front_->CloseIdle();
   pipeline_.RefuseWaiting();
-  if (elapsed >= settings_.drain_timeout - kLastAnswers) pipeline_.AnswerAll();
+  if (elapsed >= settings_.drain_timeout - kFinalAnswerMargin) pipeline_.AnswerAll();
   return front_->open_connections() == 0;
 }
 
 /// Once no order is without its answer; the store has to know before the successor looks.
-void Gateway::HandLeadershipOn() {
+void Gateway::TransferLeadership() {
   if (resigning_ || controller_.sending() > 0) return;
   resigning_ = true;
   const bool led = election_.leading();
@@ -471,7 +472,7 @@
 Awaitable<void> Gateway::Stop() {
   const auto began = BootClock::now();
   while (true) {
-    HandLeadershipOn();
+    TransferLeadership();
     const auto elapsed = BootClock::now() - began;
     const bool last_moment = elapsed >= settings_.drain_timeout - kReserve;
     if (Drained(elapsed) && (resigned_ || last_moment)) break;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -56,9 +56,9 @@
   Awaitable<void> AnswerMetrics(HttpServerExchange& exchange);
   void TakeNotice(const PlacementNotice& notice);
   /// @param from "IP:PORT" of the sender.
-  void HearNotice(const PlacementNotice& notice, const std::string& from);
+  void ReceivePlacementNotice(const PlacementNotice& notice, const std::string& from);
   /// Tells all daemons of a placement: those that follow relays by these.
-  void SpreadNotice(const PlacementNotice& notice);
+  void BroadcastPlacementNotice(const PlacementNotice& notice);
   void TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerQuestion(const DemandReport& report);
   bool Expected(const ChangeAnswer& answer) const;
@@ -90,10 +90,10 @@
   void AskForChanges(DemandReport& report);
   void ReportBesideRelays(const DemandReport& report);
   void TakeReport(const DemandReport& report);
-  void HandLeadershipOn();
+  void TransferLeadership();
   std::vector<std::string> UnreachableServers() const;
   Awaitable<void> ReportDemand();
-  Awaitable<void> KeepHouse();
+  Awaitable<void> RunPeriodicTasks();
   /// @param due when this process was to be woken up.
   void NoteStall(BootClock::time_point due);
   Awaitable<void> Stop();
@@ -122,10 +122,10 @@
   RequestPipeline pipeline_;
   std::unique_ptr<HttpServer> front_;
   std::unique_ptr<HttpServer> readiness_;
-  std::unique_ptr<HttpServer> figures_;  ///< Null where no address is given.
+  std::unique_ptr<HttpServer> metrics_server_;  ///< Null where no address is given.
   /// Read before the first configuration, which tells what services exist: at a start the store
   /// lists it first. 16 servers ended again after a kill of all daemons when it was dropped (soak).
-  std::optional<QuarantineNotice> early_record_;
+  std::optional<QuarantineNotice> pending_quarantine_record_;
   std::chrono::milliseconds longest_idle_{0};
   BootClock::time_point started_at_ = BootClock::now();
   BootClock::time_point reported_{};  ///< To the leader, beside relays.
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void Gateway::SpreadNotice(const PlacementNotice& notice) {
+void Gateway::BroadcastPlacementNotice(const PlacementNotice& notice) {
   if (!relays_.plan().needed()) {
     channel_.Broadcast(notice);
     return;
@@ -38,7 +38,7 @@
   for (const std::string& relay : relays_.plan().AllRelays()) channel_.SendTo(relay, notice);
 }
 
-void Gateway::HearNotice(const PlacementNotice& notice, const std::string& from) {
+void Gateway::ReceivePlacementNotice(const PlacementNotice& notice, const std::string& from) {
   TakeNotice(notice);
   // Only what comes from the leader is passed on: no notice goes round.
   if (relays_.IsRelay() && from == LeaderAddress()) channel_.Broadcast(notice);
