--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -102,7 +102,7 @@
 void Forwarder::NoteHead(GatewayRequest& request) {
   request.head_sent = true;
   request.head_at = BootClock::now();
-  metrics_.time_to_head.Observe(ElapsedMs(request.arrival));
+  metrics_.time_to_response_head.Observe(ElapsedMs(request.arrival));
 }
 
 void Forwarder::NoteGap(GatewayRequest& request, SteadyTime last_events) {
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -398,7 +398,7 @@
   const auto late = std::chrono::duration_cast<milliseconds>(BootClock::now() - due);
   if (late < kStallThreshold) return;
   ++metrics_.stalls;
-  metrics_.stalled_ms = std::max<std::int64_t>(metrics_.stalled_ms, late.count());
+  metrics_.longest_stall_ms = std::max<std::int64_t>(metrics_.longest_stall_ms, late.count());
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kStalled)
                                      .Field(LogField::kMs, late.count())
                                      .Field(LogField::kConfigurationAgeMs,
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -55,7 +55,7 @@
   Count(text, "repeats", repeats);
   Count(text, "repeats_denied", repeats_denied);
   Count(text, "waits_for_server", waits_for_server);
-  Count(text, "waits_for_store_read", waits_for_read);
+  Count(text, "waits_for_store_read", waits_for_store_read);
   Count(text, "store_reads_repeated", repeated_reads);
   Count(text, "servers_ended_under_requests", quarantine.servers_ended);
   Count(text, "requests_quarantined", quarantine.refused);
@@ -80,13 +80,13 @@
   requests_ended.Render("requests_ended_total", text);
   store_calls.Render("store_calls_total", text);
   failed_reads.Render("store_reads_failed_total", text);
-  Count(text, "store_reads_outdated", outdated_reads);
+  Count(text, "store_reads_outdated", stale_configuration_reads);
   Count(text, "store_entries_skipped", entries_skipped);
   Count(text, "servers_restarted", servers_restarted);
-  Count(text, "earlier_lives_ignored", earlier_lives);
+  Count(text, "earlier_lives_ignored", previous_run_entries_ignored);
   Count(text, "server_statements", server_statements);
-  Count(text, "servers_kept_leaving", leaving_kept);
-  Count(text, "server_entries_doubted", entries_doubted);
+  Count(text, "servers_kept_leaving", stale_ready_entries_ignored);
+  Count(text, "server_entries_doubted", restored_entries_rejected);
   messages_unread.Render("messages_unread_total", text);
   Count(text, "relay_answers_sent", relay_answers_sent);
   Count(text, "servers_pages_sent", servers_pages_sent);
@@ -112,9 +112,9 @@
   for (const RepeatsLeft& left : repeats_left)
     Line(text, "repeats_left{service=\"" + left.service + "\"}", Decimal(left.repeats));
   Count(text, "stalls", stalls);
-  Gauge(text, "longest_stall_ms", stalled_ms);
+  Gauge(text, "longest_stall_ms", longest_stall_ms);
   Gauge(text, "peak_memory_kb", peak_memory_kb);
-  time_to_head.Render("time_to_answer_ms", text);
+  time_to_response_head.Render("time_to_answer_ms", text);
   time_to_end.Render("time_to_end_ms", text);
   event_gap.Render("event_gap_ms", text);
   wait_for_server.Render("wait_for_server_ms", text);
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -46,19 +46,21 @@
   std::uint64_t repeats = 0;
   std::uint64_t repeats_denied = 0;
   std::uint64_t waits_for_server = 0;
-  std::uint64_t waits_for_read = 0;       ///< Of the store: what was known was too old.
-  std::uint64_t repeated_reads = 0;       ///< Of the store, whose first answers were late.
-  LabelledCounter requests_ended;         ///< By route, kind, outcome and reason.
-  LabelledCounter store_calls;            ///< By call and outcome.
-  LabelledCounter failed_reads;           ///< Of the store, by what was read and the reason.
-  std::uint64_t outdated_reads = 0;       ///< Cheap ones of a configuration, read again.
-  std::uint64_t entries_skipped = 0;      ///< Of the store, that could not be read.
-  std::uint64_t servers_restarted = 0;    ///< Under the id that they had.
-  std::uint64_t server_statements = 0;    ///< News that servers gave of themselves in answers.
-  std::uint64_t leaving_kept = 0;         ///< Entries that called a server ready that had left.
-  std::uint64_t entries_doubted = 0;      ///< Of servers that were gone, in a copy.
-  LabelledCounter messages_unread;        ///< By sender and format.
-  std::uint64_t earlier_lives = 0;        ///< Entries of servers that have started again since.
+  std::uint64_t waits_for_store_read = 0;       ///< Of the store: what was known was too old.
+  std::uint64_t repeated_reads = 0;             ///< Of the store, whose first answers were late.
+  LabelledCounter requests_ended;               ///< By route, kind, outcome and reason.
+  LabelledCounter store_calls;                  ///< By call and outcome.
+  LabelledCounter failed_reads;                 ///< Of the store, by what was read and the reason.
+  std::uint64_t stale_configuration_reads = 0;  ///< Cheap ones of a configuration, read again.
+  std::uint64_t entries_skipped = 0;            ///< Of the store, that could not be read.
+  std::uint64_t servers_restarted = 0;          ///< Under the id that they had.
+  std::uint64_t server_statements = 0;  ///< News that servers gave of themselves in answers.
+  std::uint64_t stale_ready_entries_ignored =
+      0;  ///< Entries that called a server ready that had left.
+  std::uint64_t restored_entries_rejected = 0;  ///< Of servers that were gone, in a copy.
+  LabelledCounter messages_unread;              ///< By sender and format.
+  std::uint64_t previous_run_entries_ignored =
+      0;                                  ///< Entries of servers that have started again since.
   std::uint64_t relay_answers_sent = 0;   ///< To followers.
   std::uint64_t servers_pages_sent = 0;   ///< Of all servers, to daemons that lack them.
   std::uint64_t servers_pages_taken = 0;  ///< The same, from a relay.
@@ -85,15 +87,15 @@
   QuarantineFigures quarantine;
   QuotaFigures quota;
   PermitFigures permits;
-  LabelledCounter tenant_requests;  ///< Of tenants: by tenant, outcome and reason.
-  LabelledCounter tenant_units;     ///< Counted against limits, by tenant.
-  LatencyHistogram time_to_head;    ///< From a request's arrival to the head of its answer.
+  LabelledCounter tenant_requests;         ///< Of tenants: by tenant, outcome and reason.
+  LabelledCounter tenant_units;            ///< Counted against limits, by tenant.
+  LatencyHistogram time_to_response_head;  ///< From a request's arrival to the head of its answer.
   LatencyHistogram time_to_end;
   LatencyHistogram event_gap;  ///< Between events of a stream, as they were passed on.
   LatencyHistogram wait_for_server;
-  LatencyHistogram store_read;  ///< From the sending of a read to its answer or failure.
-  std::uint64_t stalls = 0;     ///< Times that this process stood still, or nearly so.
-  std::int64_t stalled_ms = 0;  ///< The longest of them.
+  LatencyHistogram store_read;        ///< From the sending of a read to its answer or failure.
+  std::uint64_t stalls = 0;           ///< Times that this process stood still, or nearly so.
+  std::int64_t longest_stall_ms = 0;  ///< The longest of them.
 
   /// @return all figures in Prometheus' text format.
   std::string Render() const;
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -29,10 +29,10 @@
 constexpr std::int64_t kMostQuarantineServers = 3;
 
 /// "PORT/PATH".
-std::optional<MetricsListen> ReadMetrics(YamlMap& map) {
+std::optional<MetricsEndpoint> ReadMetrics(YamlMap& map) {
   const std::string text = map.String("metrics", "");
   if (text.empty()) return std::nullopt;
-  MetricsListen metrics;
+  MetricsEndpoint metrics;
   const std::size_t slash = text.find('/');
   const std::string port = text.substr(0, slash);
   const auto read = std::from_chars(port.data(), port.data() + port.size(), metrics.port);
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -9,7 +9,7 @@
 namespace moorfold {
 
 /// Where a gateway tells its figures.
-struct MetricsListen {
+struct MetricsEndpoint {
   std::uint16_t port = 0;
   std::string path;  ///< Begins with a slash.
 };
@@ -22,7 +22,7 @@
   Endpoint readiness;  ///< Whoever deals connections asks here whether this daemon is ready.
   Endpoint peer;       ///< Datagrams of other daemons.
   Endpoint store;      ///< The platform's metadata store.
-  std::optional<MetricsListen> metrics;
+  std::optional<MetricsEndpoint> metrics;
   std::chrono::milliseconds retry_window{10'000};
   double retry_ratio = 0.2;  ///< Most repeats for each request, over the whole fleet.
   double retry_minimum = 0;  ///< Repeats that the whole fleet may send in a window in any case.
--- a/src/gateway/labelled_counter.cc
+++ b/src/gateway/labelled_counter.cc
@@ -33,7 +33,7 @@
   const auto found = series_.find(key);
   if (found != series_.end())
     found->second += amount;
-  else if (series_.size() < kMostSeries)
+  else if (series_.size() < kMaxSeries)
     series_.emplace(key, amount);
   else
     others_ += amount;
--- a/src/gateway/labelled_counter.h
+++ b/src/gateway/labelled_counter.h
@@ -18,7 +18,7 @@
 /// come from configurations: beyond the bound all others are counted together. One thread.
 class LabelledCounter {
  public:
-  static constexpr std::size_t kMostSeries = 512;
+  static constexpr std::size_t kMaxSeries = 512;
 
   /// @param amount whole units.
   void Add(std::initializer_list<MetricLabel> labels, std::uint64_t amount = 1);
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -161,7 +161,7 @@
 Awaitable<void> RequestPipeline::AwaitRead(const GatewayRequest& request) {
   const SteadyTime began = BootClock::now();
   if (!view_.AwaitsRead(began)) co_return;
-  ++metrics_.waits_for_read;
+  ++metrics_.waits_for_store_read;
   const auto longest = std::chrono::duration_cast<milliseconds>(
       std::min(view_.configuration_bound, view_.staleness_bound) * kBoundShareForRead);
   const SteadyTime until = began + longest;
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -52,7 +52,7 @@
 bool ServerEntries::IsEarlierLife(const ServerRecord& record, StoreRevision revision) {
   const ServerPtr known = view_.servers.Find(record.id);
   if (known == nullptr || !IsLaterLife(known->record().life, record.life)) return false;
-  ++metrics_.earlier_lives;
+  ++metrics_.previous_run_entries_ignored;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kEarlierLife)
                                      .Field(LogField::kServer, record.id)
                                      .Field(LogField::kLife, record.life)
@@ -71,7 +71,7 @@
 bool ServerEntries::Doubt(const ServerRecord& record, StoreRevision revision) {
   if (view_.servers.Find(record.id) != nullptr || FindDeparted(record) == nullptr) return false;
   doubted_[record.id] = {record, revision, BootClock::now() + kDoubt};
-  ++metrics_.entries_doubted;
+  ++metrics_.restored_entries_rejected;
   ActWhenDue();
   return true;
 }
@@ -85,7 +85,7 @@
       known != nullptr && known->SaysItLeaves() && !IsLaterLife(record.life, known->record().life);
   if (!leaves && !left_before) return;
   record.draining = true;
-  ++metrics_.leaving_kept;
+  ++metrics_.stale_ready_entries_ignored;
   // Its entry may call it ready with each heartbeat until the store is back.
   if (known != nullptr && known->standing().leaving && known->record().draining) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kServerStillLeaves)
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -249,7 +249,7 @@
   follow::ReadEnded ended{listing.revision, BytesOf(listing.entries), std::nullopt};
   ended.outdated =
       state_.reading == follow::ReadKind::kToldConfiguration && Version() < reading_version_;
-  if (ended.outdated) ++metrics_.outdated_reads;
+  if (ended.outdated) ++metrics_.stale_configuration_reads;
   Decide(ended);
 }
 
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -216,7 +216,7 @@
 TEST_CASE("Figures come in the text format of their collector") {
   GatewayMetrics metrics;
   metrics.requests = 7;
-  metrics.time_to_head.Observe(15);
+  metrics.time_to_response_head.Observe(15);
   metrics.requests_ended.Add({{"route", "a"}, {"reason", "no_server"}});
   metrics.repeats_left.push_back({"s", 2.5});
   const std::string text = metrics.Render();
@@ -236,16 +236,16 @@
   std::string text;
   counter.Render("r", text);
   CHECK(text == "moorfold_r{route=\"a\\\"b\\\\c\\nd\"} 2\n");
-  for (std::size_t route = 0; route < 2 * LabelledCounter::kMostSeries; ++route)
+  for (std::size_t route = 0; route < 2 * LabelledCounter::kMaxSeries; ++route)
     counter.Add({{"route", std::to_string(route)}});
-  CHECK(counter.Total() == 2 + 2 * LabelledCounter::kMostSeries);
+  CHECK(counter.Total() == 2 + 2 * LabelledCounter::kMaxSeries);
   CHECK(counter.Count({{"route", "0"}}) == 1);
   CHECK(counter.Count({{"route", "100000"}}) == 0);
   std::string bounded;
   counter.Render("r", bounded);
   CHECK(bounded.find("others=\"true\"") != std::string::npos);
   CHECK(static_cast<std::size_t>(std::count(bounded.begin(), bounded.end(), '\n')) ==
-        LabelledCounter::kMostSeries + 1);
+        LabelledCounter::kMaxSeries + 1);
 }
 
 TEST_CASE("Calls to the store are counted by kind and outcome") {
