--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -85,8 +85,8 @@
   Count(text, "servers_restarted", servers_restarted);
   Count(text, "earlier_lives_ignored", previous_run_entries_ignored);
   Count(text, "server_statements", server_statements);
-  Count(text, "servers_kept_leaving", stale_ready_entries_ignored);
-  Count(text, "server_entries_doubted", restored_entries_rejected);
+  Count(text, "servers_kept_leaving", stale_ready_states_overridden);
+  Count(text, "server_entries_doubted", restored_entries_deferred);
   messages_unread.Render("messages_unread_total", text);
   Count(text, "relay_answers_sent", relay_answers_sent);
   Count(text, "servers_pages_sent", servers_pages_sent);
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -55,9 +55,9 @@
   std::uint64_t entries_skipped = 0;            ///< Of the store, that could not be read.
   std::uint64_t servers_restarted = 0;          ///< Under the id that they had.
   std::uint64_t server_statements = 0;  ///< News that servers gave of themselves in answers.
-  std::uint64_t stale_ready_entries_ignored =
+  std::uint64_t stale_ready_states_overridden =
       0;  ///< Entries that called a server ready that had left.
-  std::uint64_t restored_entries_rejected = 0;  ///< Of servers that were gone, in a copy.
+  std::uint64_t restored_entries_deferred = 0;  ///< Of servers that were gone, in a copy.
   LabelledCounter messages_unread;              ///< By sender and format.
   std::uint64_t previous_run_entries_ignored =
       0;                                  ///< Entries of servers that have started again since.
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -71,7 +71,7 @@
 bool ServerEntries::Doubt(const ServerRecord& record, StoreRevision revision) {
   if (view_.servers.Find(record.id) != nullptr || FindDeparted(record) == nullptr) return false;
   doubted_[record.id] = {record, revision, BootClock::now() + kDoubt};
-  ++metrics_.restored_entries_rejected;
+  ++metrics_.restored_entries_deferred;
   ActWhenDue();
   return true;
 }
@@ -85,7 +85,7 @@
       known != nullptr && known->SaysItLeaves() && !IsLaterLife(record.life, known->record().life);
   if (!leaves && !left_before) return;
   record.draining = true;
-  ++metrics_.stale_ready_entries_ignored;
+  ++metrics_.stale_ready_states_overridden;
   // Its entry may call it ready with each heartbeat until the store is back.
   if (known != nullptr && known->standing().leaving && known->record().draining) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kServerStillLeaves)
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -43,7 +43,7 @@
   fixture.ComeBackFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.Usable("i-2"));
-  CHECK(fixture.metrics.stale_ready_entries_ignored > 0);
+  CHECK(fixture.metrics.stale_ready_states_overridden > 0);
   fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // It has started again.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }));
 }
@@ -55,7 +55,7 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1") == nullptr; }));
   fixture.ComeBackFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
-  CHECK(fixture.metrics.restored_entries_rejected == 1);
+  CHECK(fixture.metrics.restored_entries_deferred == 1);
   fixture.PutServer("i-1");  // It writes: it lives.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }, milliseconds(1'000)));
 }
