--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -18,37 +18,41 @@
 constexpr const char* kLeaderKey = "moorfold/leader";
 constexpr const char* kSharingKey = "moorfold/quota-sharing";
 constexpr const char* kQuarantineKey = "moorfold/quarantine";
-/// Share of the tighter staleness bound that passes between two reads of the store; the rest is for
-/// the calls, for requests on their way, and for a weak machine. With all of the bound but
-/// 0.9 s as the pause, servers were used too late on two days of six of a fleet of 86 daemons.
+/// Interval between two reads of the store, as a share of the tighter staleness bound. The rest
+/// covers the store calls, requests in flight and slow machines. With an interval of the bound
+/// less 0.9 s, a fleet of 86 daemons used servers beyond the bound on two of six days.
 constexpr double kReadIntervalShare = 0.55;
-/// The same for a leader that others follow. What a follower knows is older by up to its question's
-/// interval, and must stay younger than `kReadIntervalShare` also when one datagram is lost.
+/// The same for a leader that other daemons follow. A follower's data is older by up to its polling
+/// interval and must stay within `kReadIntervalShare` even if one datagram is lost.
 constexpr double kWatcherReadIntervalShare = 0.1;
-/// Two reads for which there is a reason, as a newer configuration, lie at least so far apart: with
-/// a question's interval that is still within `kReadIntervalShare` of a bound of 3 s or more.
+/// Minimum interval between two reads that are triggered by an event, such as a newer
+/// configuration. Together with the polling interval it stays within `kReadIntervalShare` for
+/// bounds of 3 s or more.
 constexpr double kUrgentReadIntervalShare = 0.35;
-/// Silence of all relays after which a daemon reads the store for servers: what is left of the
-/// bound has to do for the read.
+/// Time without an answer from any relay after which a daemon reads the servers from the store
+/// itself; the rest of the bound has to suffice for that read.
 constexpr double kRelayTimeoutShare = 0.7;
-/// For a newer configuration to come from a relay, before the store is read for it.
+/// Time to wait for a newer configuration from a relay before it is read from the store.
 constexpr double kConfigurationTimeoutShare = 0.2;
-constexpr double kRelayTimeoutJitter = 0.15;  ///< Added to it, from none to all of it.
+constexpr double kRelayTimeoutJitter =
+    0.15;  ///< Upper limit of the jitter added to kRelayTimeoutShare.
 constexpr std::size_t kJitterSteps = 1'000;
 constexpr milliseconds kPeriodicTaskInterval{500};
-/// A timer that is so late tells of a process that stood still or had to wait for the processor:
-/// a tenth of the time that a configuration may take where that is 2 s.
+/// A timer that fires this late shows that the process was suspended or waited for the CPU. The
+/// value is a tenth of a configuration bound of 2 s.
 constexpr milliseconds kStallThreshold{200};
-/// How limits are shared out is told when it changes, and so often: a datagram may be lost.
+/// The sharing of tenants' limits is broadcast on change and at this interval, since a datagram may
+/// be lost.
 constexpr milliseconds kSharingBroadcastInterval{2'000};
 constexpr milliseconds kLeaderLease{3'000};
 constexpr milliseconds kStopPollInterval{50};
-/// Until whoever deals connections has seen twice that this daemon is not ready.
+/// Time for the load balancer to see twice that this daemon is not ready.
 constexpr milliseconds kNotReadyPropagation{2'600};
 constexpr milliseconds kStopMargin{300};
-/// Before the end of the drain time, whatever has no answer yet gets one.
+/// Time before the end of the drain timeout at which all unanswered requests get an answer.
 constexpr milliseconds kFinalAnswerMargin{600};
-/// Clients may use a connection until shortly before the configured idle time has passed.
+/// Factor on the configured idle timeout: clients may reuse a connection until shortly before the
+/// configured timeout expires, so the server closes it later.
 constexpr double kIdleMargin = 1.2;
 
 milliseconds CandidacyDelay(const GatewaySettings& settings) {
@@ -64,7 +68,7 @@
   };
   follow::Settings wanted{share(kReadIntervalShare), share(kWatcherReadIntervalShare),
                           share(kUrgentReadIntervalShare)};
-  // Where relays are lost, daemons do not all read the store at the same moment.
+  // Spreads the reads of the store over time when all daemons lose their relays at once.
   const double spread =
       static_cast<double>(std::hash<std::string>{}(settings.name) % kJitterSteps) /
       static_cast<double>(kJitterSteps);
@@ -132,7 +136,7 @@
                   if (LeaderAddress() == from)
                     relays_.TakePlan(plan);
                   else
-                    LogDroppedDatagram("a plan of relays that is not the leader's", from);
+                    LogDroppedDatagram("relay plan from a sender other than the leader", from);
                 },
                 [this](const ServersQuestion& question, const std::string& from) {
                   relays_.AnswerServersQuestion(question, from);
@@ -222,7 +226,7 @@
                      });
   quota_.Start();
   statements_.OnLimitEnded([this](const Server& server) { permits_.TellUnlimited(server); });
-  // A start under the same id is the end of the process before.
+  // A restart under the same id implies that the previous process ended.
   store_view_.OnRestart([this](const std::string& id) {
     if (quarantine_.book().Waiting(id)) quarantine_.Note(quarantine::ServerEnded{id});
   });
@@ -312,8 +316,8 @@
 }
 
 void Gateway::HandleQuarantineRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
-  // A copy shows what was quarantined then. This daemon knows what has been since: it would release
-  // nothing, but quarantine anew what was released meanwhile.
+  // A store restored from an older copy has an outdated record, while this daemon knows the later
+  // changes. Applying the record releases nothing but quarantines again what was released since.
   const bool copy = quarantine_era_ != kEraUntold && revision.era > quarantine_era_;
   quarantine_era_ = std::max(quarantine_era_, revision.era);
   quarantine_record_.Seen(entry ? entry->value : "", revision);
@@ -372,7 +376,7 @@
 
 void Gateway::HandleSharingRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
   sharing_record_.Seen(entry, revision);
-  // What a leader has told is newer.
+  // A sharing received from a leader is newer than the stored one.
   if (!entry || quota_.sharing().daemons > 0) return;
   ApplySharing(DecodeMessage<CreditSharing>(entry->value));
 }
@@ -446,8 +450,9 @@
   boost::asio::co_spawn(context_, Stop(), boost::asio::detached);
 }
 
-/// New work is taken until those who deal connections have seen that this daemon is not ready; then
-/// only what was begun is brought to its end, since later work might not end in time.
+/// Accepts new requests until the load balancer has seen that this daemon is not ready. From then
+/// on only requests in progress continue, since later ones might not finish in time.
+/// @return whether the daemon can stop.
 bool Gateway::AdvanceDrain(BootClock::duration elapsed) {
   if (elapsed >= settings_.drain_timeout - kStopMargin) return true;
   if (elapsed < kNotReadyPropagation) return false;
@@ -458,7 +463,8 @@
   return client_server_->open_connections() == 0;
 }
 
-/// Once no order is without its answer; the store has to know before the successor looks.
+/// Resigns once no order is awaiting its answer. The store must hold the resignation before the
+/// successor reads it, so the offer is sent only afterwards.
 void Gateway::TransferLeadership() {
   if (resigning_ || controller_.sending() > 0) return;
   resigning_ = true;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -31,9 +31,9 @@
 
 namespace moorfold {
 
-/// One gateway daemon on one thread. States: starting (not ready) -> ready (a configuration is in
-/// force) -> stopping (not ready, answers announce the end of their connections, requests run to
-/// their end) -> stopped.
+/// One gateway daemon. Single-threaded. States: starting (not ready) -> ready (a configuration is
+/// active) -> stopping (not ready; responses carry "Connection: close" and active requests
+/// finish) -> stopped.
 class Gateway {
  public:
   /// Binds all ports. @throws ListenError.
@@ -41,9 +41,10 @@
           const FleetProtocol& protocol, EventLog& log);
 
   void Start();
-  /// Begins a planned stop; a second call does nothing. The context is stopped at its end.
+  /// Starts a graceful shutdown; further calls have no effect. Stops the io_context when done.
   void BeginStop();
-  /// Reads the settings again: what cannot change while running is said in the log.
+  /// Applies reloaded settings. Only the drain timeout changes at run time; the log records that
+  /// the other settings take effect at the next start.
   void Reload(const GatewaySettings& settings);
   Endpoint listen() const { return client_server_->endpoint(); }
   Endpoint readiness() const { return readiness_server_->endpoint(); }
@@ -57,12 +58,14 @@
   void ApplyPlacementNotice(const PlacementNotice& notice);
   /// @param from "IP:PORT" of the sender.
   void ReceivePlacementNotice(const PlacementNotice& notice, const std::string& from);
-  /// Tells all daemons of a placement: those that follow relays by these.
+  /// Sends a placement notice to all daemons, or to the relays only if the fleet uses relays; the
+  /// relays then forward it.
   void BroadcastPlacementNotice(const PlacementNotice& notice);
   void TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerChangeQuestion(const DemandReport& report);
   bool MatchesOpenQuestion(const ChangeAnswer& answer) const;
-  /// A datagram is left alone.
+  /// Logs a datagram that is ignored.
+  /// @param from "IP:PORT" of the sender.
   void LogDroppedDatagram(const std::string& problem, const std::string& from);
   void RecordUnreadableMessage(const UnreadMessage& message);
   void SetFleetSize(std::uint32_t daemons);
@@ -70,12 +73,12 @@
   std::vector<std::string> Peers();
   bool ServiceExists(const std::string& service) const;
   QuotaService::Ports QuotaPorts();
-  /// @return whether this daemon shares servers' limits out.
+  /// @return the role of this daemon in distributing the servers' concurrency limits.
   limits::PoolRole PermitRole() const;
   PermitService::Ports PermitPorts();
   void ApplySharing(const CreditSharing& sharing);
   void HandleSharingRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
-  /// While this daemon leads: tells the others how limits are shared out.
+  /// On the leader: recomputes how tenants' limits are divided among the daemons and broadcasts it.
   void UpdateQuotaSharing();
   void HandleQuarantineRecord(const std::optional<KeyValue>& entry, StoreRevision revision);
   void UpdateQuarantine();
@@ -83,10 +86,10 @@
     return static_cast<std::uint32_t>(channel_.reporters()) + 1;
   }
   bool QuestionDue(BootClock::time_point now);
-  /// @return a report of this daemon that carries no demand and asks nothing.
+  /// @return a report that identifies this daemon, without demand entries and without a question.
   DemandReport MakeEmptyReport() const;
   RelayService::Ports RelayPorts();
-  /// @return "IP:PORT" of whoever leads, as far as known; empty: nobody.
+  /// @return "IP:PORT" of the current leader; empty if none is known.
   std::string LeaderAddress() const;
   void ReportToLeader(DemandReport report);
   void AttachChangeQuestion(DemandReport& report);
@@ -96,7 +99,8 @@
   std::vector<std::string> UnreachableServers() const;
   Awaitable<void> ReportDemand();
   Awaitable<void> RunPeriodicTasks();
-  /// @param due when this process was to be woken up.
+  /// Counts and logs a stall if the timer fired late.
+  /// @param due the time at which the timer was set to fire.
   void RecordStall(BootClock::time_point due);
   Awaitable<void> Stop();
   bool AdvanceDrain(BootClock::duration elapsed);
@@ -124,20 +128,23 @@
   RequestPipeline pipeline_;
   std::unique_ptr<HttpServer> client_server_;
   std::unique_ptr<HttpServer> readiness_server_;
-  std::unique_ptr<HttpServer> metrics_server_;  ///< Null where no address is given.
-  /// Read before the first configuration, which tells what services exist: at a start the store
-  /// lists it first. 16 servers ended again after a kill of all daemons when it was dropped (soak).
+  std::unique_ptr<HttpServer> metrics_server_;  ///< Null if the settings name no metrics port.
+  /// A quarantine record that was read before the first configuration. It is applied once the
+  /// configuration tells which services exist, since the store lists the record first at a start.
+  /// When it was dropped instead, 16 servers crashed again after all daemons were killed (soak).
   std::optional<QuarantineNotice> pending_quarantine_record_;
   std::chrono::milliseconds longest_idle_{0};
   BootClock::time_point started_at_ = BootClock::now();
-  BootClock::time_point last_report_at_{};  ///< To the leader, beside relays.
-  /// When the latest questions were asked: other answers are not believed.
+  BootClock::time_point
+      last_report_at_{};  ///< Of the last report to the leader while following relays.
+  /// Send times of the latest change questions; answers to any other question are dropped.
   std::deque<std::int64_t> open_question_times_us_;
   BootClock::time_point last_question_at_{};
-  BootClock::time_point leading_since_{};  ///< Zero: this daemon does not lead.
+  BootClock::time_point leading_since_{};  ///< Zero if this daemon is not the leader.
   BootClock::time_point last_sharing_broadcast_{};
-  std::int64_t quarantine_era_ = kEraUntold;  ///< Of the store when it last showed the list.
-  std::uint32_t fleet_size_ = 0;  ///< FleetSizeFromReports, as the leader said last; 0: unknown.
+  std::int64_t quarantine_era_ = kEraUntold;  ///< Store era of the last quarantine record.
+  std::uint32_t fleet_size_ =
+      0;  ///< Number of daemons as last announced by the leader; 0 if unknown.
   bool stopping_ = false;
   bool resigning_ = false;
   bool resigned_ = false;
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -1,4 +1,5 @@
-// What a gateway says to other daemons and hears from them: demand, what has changed, placements.
+// The gateway's messages to and from other daemons: demand reports, change questions and answers,
+// placement notices.
 
 #include <algorithm>
 
@@ -11,19 +12,19 @@
 
 using std::chrono::milliseconds;
 
-/// Addresses in one answer of the leader: a fleet of seven knows all after two answers, one of 295
-/// knows as many as it keeps within half a minute.
+/// Peer addresses in one answer. In a fleet of seven a daemon knows all peers after two answers; in
+/// a fleet of 295 it has as many as it keeps within half a minute.
 constexpr std::size_t kPeersPerAnswer = 4;
 constexpr milliseconds kReportInterval{500};
-/// By then the server's record shows that the model is gone, or that it stayed.
+/// Time after which the server's record shows whether the model was unloaded.
 constexpr milliseconds kUnloadSettleTime{5'000};
 constexpr milliseconds kMinReportGap{60};
-/// A daemon without demand that follows relays tells the leader so often that it is there.
+/// Interval at which a relay follower without demand reports to the leader to stay a known member.
 constexpr milliseconds kPresenceInterval{3'000};
-/// Answers to older questions are not waited for.
+/// Number of change questions that may await an answer; older ones are abandoned.
 constexpr std::size_t kMaxOpenQuestions = 4;
-/// Of the fleet's free repeats, for daemons that reported to the leader; the rest is left to those
-/// that have not heard how large the fleet is.
+/// Share of the fleet's free retries for daemons that know the fleet's size. The rest is left to
+/// daemons that have not yet learned it.
 constexpr double kFreeRetriesShare = 0.5;
 constexpr double kMinFleetSize = 4;
 constexpr double kMinFreeRetries = 2;
@@ -40,7 +41,7 @@
 
 void Gateway::ReceivePlacementNotice(const PlacementNotice& notice, const std::string& from) {
   ApplyPlacementNotice(notice);
-  // Only what comes from the leader is passed on: no notice goes round.
+  // Relays forward only notices from the leader, which prevents forwarding loops.
   if (relays_.IsRelay() && from == LeaderAddress()) channel_.Broadcast(notice);
 }
 
@@ -67,7 +68,8 @@
   return servers;
 }
 
-/// Reports come more often while requests wait; questions need not.
+/// Limits the rate of change questions: reports are sent more often while requests wait, questions
+/// are not.
 bool Gateway::QuestionDue(BootClock::time_point now) {
   if (now - last_question_at_ < kReportInterval - kMinReportGap) return false;
   last_question_at_ = now;
@@ -142,7 +144,7 @@
   if (open_question_times_us_.size() > kMaxOpenQuestions) open_question_times_us_.pop_front();
 }
 
-/// What the leader has to know of a daemon that follows relays is its demand, and that it is there.
+/// From a relay follower the leader needs only its demand and a sign that it is alive.
 void Gateway::ReportAsRelayFollower(const DemandReport& report) {
   const auto now = BootClock::now();
   const std::string leader = LeaderAddress();
@@ -197,7 +199,8 @@
   const bool from_leader = LeaderAddress() == from;
   const bool believed = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
   if (!MatchesOpenQuestion(answer) || !believed || election_.leading()) {
-    LogDroppedDatagram("an answer that was not asked for, or not there", from);
+    LogDroppedDatagram("answer matches no open question, or its sender is not the daemon asked",
+                       from);
     return;
   }
   if (answer.leads) {
@@ -222,7 +225,8 @@
                                     .Field(LogField::kFormat, message.format));
 }
 
-/// The part of the fleet's free repeats that this daemon may use on top of its share by requests.
+/// Sets the fleet size, and from it the free retries that this daemon may send in addition to those
+/// that its request volume allows.
 void Gateway::SetFleetSize(std::uint32_t daemons) {
   fleet_size_ = daemons;
   const double sharing = std::max<double>(daemons, kMinFleetSize);
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -17,7 +17,7 @@
   try {
     return ParseEndpoint(text);
   } catch (const std::invalid_argument&) {
-    map.Problem(key, "'" + key + "' is no address", "write IP:PORT, as 127.0.0.1:7400");
+    map.Problem(key, "'" + key + "' is not an address", "write IP:PORT, as 127.0.0.1:7400");
     return {};
   }
 }
@@ -28,7 +28,7 @@
 constexpr std::int64_t kMaxDaemons = 1'000'000;
 constexpr std::int64_t kMaxQuarantineServers = 3;
 
-/// "PORT/PATH".
+/// Reads the optional "PORT/PATH".
 std::optional<MetricsEndpoint> ReadMetrics(YamlMap& map) {
   const std::string text = map.String("metrics", "");
   if (text.empty()) return std::nullopt;
@@ -37,7 +37,7 @@
   const std::string port = text.substr(0, slash);
   const auto read = std::from_chars(port.data(), port.data() + port.size(), metrics.port);
   if (read.ec != std::errc() || read.ptr != port.data() + port.size() || metrics.port == 0)
-    map.Problem("metrics", "'metrics' names no port", "write PORT/PATH, as 9100/metrics");
+    map.Problem("metrics", "'metrics' has no valid port", "write PORT/PATH, as 9100/metrics");
   metrics.path = slash == std::string::npos ? "/" : text.substr(slash);
   return metrics;
 }
--- a/src/gateway/quarantine_api.cc
+++ b/src/gateway/quarantine_api.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kReleasePath = "/quarantine/release/";
-/// Of a list for people; the figures tell how many there are.
+/// Maximum rows of the list, which is read by operators; the metrics tell the total.
 constexpr std::size_t kMaxListed = 1'000;
 
 HttpResponse Text(unsigned status, std::string text) {
--- a/src/gateway/quarantine_api.h
+++ b/src/gateway/quarantine_api.h
@@ -5,15 +5,15 @@
 
 namespace moorfold {
 
-/// The operator's calls about quarantined requests, beside a gateway's figures:
-/// - GET quarantine: a line for each, "FINGERPRINT SERVICE SERVERS SECONDS_LEFT VERSION,...".
-/// - POST quarantine/release/FINGERPRINT: lets it run again, at every daemon; servers that end
-/// under
-///   it afterwards count anew.
+/// Operator API for quarantined requests, served on the metrics port:
+/// - GET quarantine: one line each, "FINGERPRINT SERVICE SERVERS SECONDS_LEFT VERSION,...".
+/// - POST quarantine/release/FINGERPRINT: releases the request on every daemon; the count of
+/// crashed
+///   servers restarts at zero.
 inline constexpr std::string_view kQuarantinePath = "/quarantine";
 
 /// @pre the request's target begins with kQuarantinePath.
-/// @return the answer; a mistake names its remedy.
+/// @return the response; error texts tell how to correct the call.
 HttpResponse AnswerQuarantineCall(const HttpRequest& request, QuarantineService& quarantine);
 
 }  // namespace moorfold
