--- a/src/gateway/explain.cc
+++ b/src/gateway/explain.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// @return the value of `key` in a line of key=value pairs; quotes are kept out.
+/// @return the value of `key` in a line of key=value pairs; without quotes.
 std::string FieldOf(const std::string& text, const std::string& key) {
   const std::string wanted = key + "=";
   std::size_t at = 0;
@@ -26,7 +26,7 @@
   return text.substr(begin, text.find(' ', begin) - begin);
 }
 
-/// Beliefs of a daemon that outlast one line: the newest of each kind counts.
+/// Whether an event changes the daemon's state; the latest of each kind is in effect.
 bool IsStateEvent(const std::string& event) {
   static const std::set<std::string> kStateEvents = {
       "start",          "stopping",        "store_lost",          "store_in_touch", "configuration",
@@ -43,15 +43,15 @@
   return text.str();
 }
 
-/// Whether a line is about the request, by itself or in a list.
+/// Whether a line is about the request, which it names in `id` or in the list `ids`.
 bool Mentions(const LoggedEvent& line, const std::string& request_id) {
   if (FieldOf(line.text, "id") == request_id) return true;
   const std::string ids = "," + FieldOf(line.text, "ids") + ",";
   return ids.find("," + request_id + ",") != std::string::npos;
 }
 
-/// What became of a daemon after its last line on a request that has no end: a start that no stop
-/// came before tells that the process was killed.
+/// Tells what happened to the daemon after its last line about a request without an end. A start
+/// that no stop precedes means that the process was killed.
 std::string DescribeDaemonOutcome(const std::vector<const LoggedEvent*>& log,
                                   const LoggedEvent& last) {
   bool stopped = false;
@@ -60,13 +60,13 @@
     stopped = stopped || line->event == "stopped";
     if (line->event != "start") continue;
     return stopped ? "  then: the daemon stopped as planned"
-                   : "  then: the daemon ended without a word; it started again " +
+                   : "  then: the daemon ended without logging a stop; it started again " +
                          Milliseconds(line->time_us - last.time_us) + " later";
   }
-  return "  then: nothing more; it is still under way, or the daemon has ended";
+  return "  then: no further lines; the request is still in progress, or the daemon has ended";
 }
 
-/// What one daemon's log says about the request.
+/// @return the explanation from one daemon's log; empty if it does not mention the request.
 std::vector<std::string> ExplainAtDaemon(const std::vector<const LoggedEvent*>& log,
                                          const std::string& request_id) {
   std::set<std::string> servers;
@@ -104,8 +104,8 @@
   return report;
 }
 
-/// A collector that gathers several daemons' lines puts each one's name before its line.
-/// @return the last word before the line's time, or an empty text.
+/// Extracts the daemon name that a log collector puts before each line.
+/// @return the last word before the line's time; empty if there is none.
 std::string DaemonNameOf(const std::string& line) {
   const std::size_t time = line.find("t_us=");
   if (time == std::string::npos) return {};
--- a/src/gateway/explain_day.cc
+++ b/src/gateway/explain_day.cc
@@ -22,7 +22,7 @@
   return number;
 }
 
-/// @return why the request counts as lost or late, or nothing for one that was answered in time.
+/// @return why the request counts as lost or late; nullopt if it was answered in time.
 std::optional<std::string> LossOf(const LoggedEvent& end) {
   const std::string outcome = EventField(end, "outcome");
   if (outcome != "answered" || EventField(end, "reason") != "none")
@@ -34,7 +34,7 @@
   return waited > at_server ? "late, no server at first" : "late, first part";
 }
 
-/// Counts of losses by row and reason.
+/// Number of lost or late requests by row and reason.
 using LossTable = std::map<std::string, std::map<std::string, std::uint64_t>>;
 
 void AppendTable(const std::string& title, const LossTable& table,
@@ -92,7 +92,7 @@
   std::uint64_t without_route = 0;
   bool any_end = false;
   for (const LoggedEvent& event : events) {
-    // The clock of a machine that was started anew begins anew; a process alone keeps it.
+    // A reboot of the machine resets its clock; a restart of the process does not.
     const auto [start, first] = starts.try_emplace(event.source, event.time_us);
     if (!first && event.event == "start" && event.time_us < start->second)
       start->second = event.time_us;
@@ -115,7 +115,7 @@
   if (!any_end) return report;
   AppendTable("lost or late, by route and reason:", by_route, report);
   AppendTable("lost or late, by time since each daemon's first start:", by_time, report);
-  report.push_back("no losses, since no route fits: " + std::to_string(without_route));
+  report.push_back("not counted as lost, no matching route: " + std::to_string(without_route));
   AppendModels(refused, report);
   report.push_back("leadership, by time since each daemon's first start:");
   report.insert(report.end(), leaders.begin(), leaders.end());
--- a/src/gateway/explain_links.cc
+++ b/src/gateway/explain_links.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxRows = 20;
 
-/// Where one fingerprint's links were ended.
+/// Attempts with one fingerprint whose connection the server closed.
 struct EndedLinks {
   std::string fingerprint;
   std::set<std::string> servers;
--- a/src/gateway/explain_links.h
+++ b/src/gateway/explain_links.h
@@ -7,11 +7,11 @@
 
 namespace moorfold {
 
-/// Tells requests under which servers ended from those that were there by chance: from the attempts
-/// whose link the server's side ended, per fingerprint, the servers and the daemons, most servers
-/// first. A request that ends servers stands at the top with many of them; who shared a server with
-/// it stands below with one or two.
-/// @return lines for people, or an empty list when no link was ended by a server.
+/// Helps to tell requests that crash servers from requests that were on such a server by chance.
+/// Lists, per request fingerprint, the servers and daemons of the attempts whose connection the
+/// server closed, most servers first. A request that crashes servers is at the top with many
+/// servers; requests that shared a server with it follow with one or two.
+/// @return human-readable lines; empty if no server closed a connection.
 std::vector<std::string> ExplainEndedLinks(const std::vector<LoggedEvent>& events);
 
 }  // namespace moorfold
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -12,14 +12,14 @@
 
 namespace moorfold {
 
-/// Counts of a latency by upper bounds in milliseconds, as Prometheus histograms are.
+/// A Prometheus histogram of a latency, with upper bounds in milliseconds.
 class LatencyHistogram {
  public:
   static constexpr std::array<double, 12> kBoundsMs = {1,   2,   5,   10,   20,   50,
                                                        100, 200, 500, 1000, 2000, 5000};
   void Observe(double milliseconds);
   std::uint64_t count() const { return count_; }
-  /// Appends the lines of the text format for `name`.
+  /// Appends the metric `name` in the Prometheus text format.
   void Render(const std::string& name, std::string& text) const;
 
  private:
@@ -28,13 +28,13 @@
   double sum_ms_ = 0;
 };
 
-/// Repeats that one service's requests may still send now.
+/// Retries that the requests of one service may currently still send.
 struct RepeatsLeft {
   std::string service;
   double repeats = 0;
 };
 
-/// What a gateway counts. One thread.
+/// The metrics of one gateway. Not thread-safe.
 struct GatewayMetrics {
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
@@ -46,58 +46,61 @@
   std::uint64_t repeats = 0;
   std::uint64_t repeats_denied = 0;
   std::uint64_t waits_for_server = 0;
-  std::uint64_t waits_for_store_read = 0;       ///< Of the store: what was known was too old.
-  std::uint64_t repeated_reads = 0;             ///< Of the store, whose first answers were late.
-  LabelledCounter requests_ended;               ///< By route, kind, outcome and reason.
-  LabelledCounter store_calls;                  ///< By call and outcome.
-  LabelledCounter failed_reads;                 ///< Of the store, by what was read and the reason.
-  std::uint64_t stale_configuration_reads = 0;  ///< Cheap ones of a configuration, read again.
-  std::uint64_t entries_skipped = 0;            ///< Of the store, that could not be read.
-  std::uint64_t servers_restarted = 0;          ///< Under the id that they had.
-  std::uint64_t server_statements = 0;  ///< News that servers gave of themselves in answers.
-  std::uint64_t stale_ready_states_overridden =
-      0;  ///< Entries that called a server ready that had left.
-  std::uint64_t restored_entries_deferred = 0;  ///< Of servers that were gone, in a copy.
-  LabelledCounter messages_unread;              ///< By sender and format.
-  std::uint64_t previous_run_entries_ignored =
-      0;                                  ///< Entries of servers that have started again since.
-  std::uint64_t relay_answers_sent = 0;   ///< To followers.
-  std::uint64_t servers_pages_sent = 0;   ///< Of all servers, to daemons that lack them.
-  std::uint64_t servers_pages_taken = 0;  ///< The same, from a relay.
-  std::uint64_t relay_answers_taken = 0;  ///< That made this daemon's knowledge newer.
-  std::uint64_t relayed_changes = 0;      ///< Of servers, taken from such answers.
+  /// Requests that waited for a store read, since the data was too old.
+  std::uint64_t waits_for_store_read = 0;
+  std::uint64_t repeated_reads = 0;  ///< Store reads sent again because the first answer was late.
+  LabelledCounter requests_ended;    ///< By route, kind, outcome and reason.
+  LabelledCounter store_calls;       ///< By call and outcome.
+  LabelledCounter failed_reads;      ///< Of the store, by kind of read and reason.
+  /// Reads of an announced configuration that returned an older one.
+  std::uint64_t stale_configuration_reads = 0;
+  std::uint64_t entries_skipped = 0;    ///< Store entries that could not be decoded.
+  std::uint64_t servers_restarted = 0;  ///< Restarts under an unchanged id.
+  std::uint64_t server_statements = 0;  ///< State changes that servers announced in responses.
+  /// Entries that showed a leaving server as ready.
+  std::uint64_t stale_ready_states_overridden = 0;
+  std::uint64_t restored_entries_deferred = 0;     ///< Of departed servers, in a restored store.
+  LabelledCounter messages_unread;                 ///< By sender and format.
+  std::uint64_t previous_run_entries_ignored = 0;  ///< Entries from before a server's restart.
+  std::uint64_t relay_answers_sent = 0;            ///< To followers.
+  std::uint64_t servers_pages_sent = 0;   ///< Pages of the server list, sent to daemons without it.
+  std::uint64_t servers_pages_taken = 0;  ///< Pages of the server list applied from a relay.
+  std::uint64_t relay_answers_taken = 0;  ///< Relay answers with newer data than this daemon's.
+  std::uint64_t relayed_changes = 0;      ///< Server changes applied from relay answers.
   LabelledCounter orders;                 ///< By kind and outcome.
   std::uint64_t loads_from_weight_store = 0;
   std::uint64_t log_lines_lost = 0;
   std::int64_t configuration_version = 0;
   std::int64_t servers_known = 0;
-  std::int64_t store_era = 0;             ///< How often the store came back from an older copy.
-  std::int64_t store_revision_known = 0;  ///< All changes of servers up to it are known.
-  std::int64_t store_revision_read = 0;   ///< Of the last read by this daemon itself.
-  std::uint64_t store_went_back = 0;      ///< Reads that showed an older revision than known.
+  std::int64_t store_era = 0;             ///< How often the store was restored from an older copy.
+  std::int64_t store_revision_known = 0;  ///< All server changes up to it are applied.
+  std::int64_t store_revision_read = 0;   ///< Revision of this daemon's own last read.
+  std::uint64_t store_went_back = 0;      ///< Reads that returned an older revision than known.
   std::int64_t leading = 0;
-  std::int64_t servers_known_age_ms = 0;        ///< Since nothing newer of servers existed.
-  std::int64_t configuration_known_age_ms = 0;  ///< Since no newer configuration existed.
+  /// Time since the server data was last known to be current.
+  std::int64_t servers_known_age_ms = 0;
+  /// Time since the configuration was last known to be current.
+  std::int64_t configuration_known_age_ms = 0;
   std::int64_t configuration_age_ms = 0;
   std::int64_t requests_open = 0;
-  std::int64_t requests_waiting = 0;  ///< For a server.
+  std::int64_t requests_waiting = 0;  ///< Waiting for a server.
   std::int64_t requests_at_servers = 0;
   std::vector<RepeatsLeft> repeats_left;
   std::int64_t peak_memory_kb = 0;
   QuarantineFigures quarantine;
   QuotaFigures quota;
   PermitFigures permits;
-  LabelledCounter tenant_requests;         ///< Of tenants: by tenant, outcome and reason.
-  LabelledCounter tenant_units;            ///< Counted against limits, by tenant.
-  LatencyHistogram time_to_response_head;  ///< From a request's arrival to the head of its answer.
+  LabelledCounter tenant_requests;         ///< By tenant, outcome and reason.
+  LabelledCounter tenant_units;            ///< Units counted against limits, by tenant.
+  LatencyHistogram time_to_response_head;  ///< From a request's arrival to its response head.
   LatencyHistogram time_to_end;
-  LatencyHistogram event_gap;  ///< Between events of a stream, as they were passed on.
+  LatencyHistogram event_gap;  ///< Between forwarded events of a response stream.
   LatencyHistogram wait_for_server;
-  LatencyHistogram store_read;        ///< From the sending of a read to its answer or failure.
-  std::uint64_t stalls = 0;           ///< Times that this process stood still, or nearly so.
-  std::int64_t longest_stall_ms = 0;  ///< The longest of them.
+  LatencyHistogram store_read;  ///< From sending a read to its answer or failure.
+  std::uint64_t stalls = 0;     ///< Times that this process was suspended or starved of CPU.
+  std::int64_t longest_stall_ms = 0;
 
-  /// @return all figures in Prometheus' text format.
+  /// @return all metrics in the Prometheus text format.
   std::string Render() const;
 };
 
--- a/test/gateway/event_names_test.cc
+++ b/test/gateway/event_names_test.cc
@@ -1,5 +1,5 @@
-// docs/OPERATIONS.md explains every event and field that the gateway logs, and no others; each that
-// is listed is used.
+// Guards against drift between docs/OPERATIONS.md and the log: the page must explain exactly the
+// listed events and fields, and each listed one must be used in the sources.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -30,14 +30,15 @@
   return text;
 }
 
-/// The names in the first column of the table that begins with `head`; a row may hold several.
+/// @return the names in the first column of the table that begins with `head`; a row may hold
+/// several.
 std::set<std::string> NamesInTable(const std::string& page, const std::string& head) {
   const std::size_t begin = page.find(head);
   REQUIRE(begin != std::string::npos);
   std::istringstream rows(page.substr(begin, page.find("\n\n", begin) - begin));
   std::set<std::string> names;
   std::string row;
-  std::getline(rows, row);  // The head.
+  std::getline(rows, row);  // Skips the table header.
   while (std::getline(rows, row)) {
     const std::string column = row.substr(1, row.find('|', 1) - 1);
     const std::regex name("[a-z_]{2,}");
@@ -48,7 +49,7 @@
   return names;
 }
 
-/// "request_end" as "kRequestEnd".
+/// Converts "request_end" to "kRequestEnd".
 std::string EnumeratorOf(const std::string& name) {
   std::string enumerator = "k";
   bool upper = true;
@@ -63,7 +64,7 @@
   return enumerator;
 }
 
-TEST_CASE("The operators' page explains just the events and fields that are logged") {
+TEST_CASE("docs/OPERATIONS.md explains exactly the events and fields that are logged") {
   const std::filesystem::path root = MOORFOLD_SOURCE_DIR;
   const std::string page = ReadFile(root / "docs/OPERATIONS.md");
   const std::set<std::string> events(kLogEventNames.begin(), kLogEventNames.end());
@@ -72,7 +73,7 @@
   CHECK(NamesInTable(page, "| field | says |") == fields);
 }
 
-TEST_CASE("Each listed event and field is logged somewhere, under its own name") {
+TEST_CASE("Each listed event and field is used in the sources by its enumerator") {
   const std::string sources = GatewaySources();
   for (const char* event : kLogEventNames) {
     CAPTURE(event);
@@ -84,7 +85,7 @@
   }
 }
 
-TEST_CASE("Events and fields are written under the names that are listed") {
+TEST_CASE("Log lines contain events and fields under their listed names") {
   const std::string text = EventLine(LogEvent::kLeadershipResigned)
                                .Field(LogField::kToken, 7)
                                .Field(LogField::kTotal, 3)
--- a/test/gateway/explain_day_test.cc
+++ b/test/gateway/explain_day_test.cc
@@ -6,7 +6,7 @@
 namespace moorfold {
 namespace {
 
-TEST_CASE("A day's losses are summed up by route, reason, time and model") {
+TEST_CASE("A day's lost and late requests are counted by route, reason, time and model") {
   const std::string log =
       "t_us=1000000 event=start name=a\n"
       "t_us=2000000 event=leadership_won token=2 lease=7\n"
@@ -37,7 +37,7 @@
       "    late, pause in the stream: 1",
       "  from    10 s: 1",
       "    refused, no_server: 1",
-      "no losses, since no route fits: 1",
+      "not counted as lost, no matching route: 1",
       "models without a server, requests refused:",
       "  rare: 1",
       "leadership, by time since each daemon's first start:",
@@ -46,7 +46,7 @@
   CHECK(report == expected);
 }
 
-TEST_CASE("The time of a daemon that was restarted counts from its new start") {
+TEST_CASE("A daemon's time counts from its restart if the clock was reset") {
   const std::string log =
       "t_us=90000000 event=start name=a\n"
       "t_us=5000000 event=start name=a\n"
@@ -57,9 +57,9 @@
 }
 
 TEST_CASE(
-    "Lines of several daemons in one log are told apart, and a process's restart keeps its clock") {
-  // A log of 295 daemons gave times from -980 s to 380 s, and 4,116 requests without a route as
-  // losses.
+    "Lines of several daemons in one log are separated, and a process restart keeps the clock") {
+  // Without this, the log of 295 daemons gave times from -980 s to 380 s, and counted 4,116
+  // requests without a route as lost.
   const std::string lost =
       " event=request_end id=4 outcome=refused status=503 reason=no_server route=r model=m\n";
   const std::string log =
@@ -72,7 +72,7 @@
   CHECK(std::count(report.begin(), report.end(), "  from    30 s: 2") == 1);
 }
 
-TEST_CASE("Logs that tell of no request's end give no table") {
+TEST_CASE("Logs without the end of any request give no table") {
   CHECK(ExplainDay(ParseLog("t_us=1 event=start name=a\nnonsense\n", "a.log")).empty());
 }
 
--- a/test/gateway/explain_links_test.cc
+++ b/test/gateway/explain_links_test.cc
@@ -5,7 +5,8 @@
 namespace moorfold {
 namespace {
 
-TEST_CASE("A request under which several servers ended stands before those that shared one") {
+TEST_CASE(
+    "A request that crashed several servers is listed before requests that shared one server") {
   const std::string log =
       "1.0 a t_us=1 event=attempt_failed id=1 server=i-1 status=0 ran=maybe problem=\"x\" "
       "link=ended_by_server fingerprint=cc\n"
@@ -21,7 +22,7 @@
   CHECK(ExplainEndedLinks(ParseLog(log, "all.log")) == expected);
 }
 
-TEST_CASE("Logs without ended links give no table") {
+TEST_CASE("Logs without connections closed by servers give no table") {
   CHECK(ExplainEndedLinks(ParseLog("t_us=1 event=start name=a\n", "a.log")).empty());
 }
 
--- a/test/gateway/explain_test.cc
+++ b/test/gateway/explain_test.cc
@@ -17,7 +17,7 @@
     "t_us=8000 event=configuration version=9 before=4 routes=18\n"
     "t_us=9000 event=request_end id=r10 outcome=answered status=200\n";
 
-TEST_CASE("A request's lines come with what its daemon believed by then") {
+TEST_CASE("A request's lines are explained with the daemon's state at that time") {
   const auto report = ExplainRequest(ParseLog(kLog, "a.log"), "r1");
   std::string all;
   for (const std::string& line : report) all += line + "\n";
@@ -27,7 +27,7 @@
   CHECK(all.find("reset by peer") != std::string::npos);
   CHECK(all.find("status=502") != std::string::npos);
   CHECK(all.find("version=9") == std::string::npos);  // Later than the request.
-  CHECK(all.find("i-2") == std::string::npos);        // Not tried.
+  CHECK(all.find("i-2") == std::string::npos);        // No attempt was sent there.
   CHECK(all.find("id=r10") == std::string::npos);
   CHECK(all.find("2.0 ms before its end: event=store_lost") != std::string::npos);
 }
@@ -37,7 +37,7 @@
   CHECK(ExplainRequest(ParseLog("", "a.log"), "r1").empty());
 }
 
-TEST_CASE("A request under way when its daemon was killed is explained by that") {
+TEST_CASE("A request in progress when its daemon was killed is explained by the daemon's restart") {
   const std::string log =
       "t_us=1000 event=start name=n zone=z\n"
       "t_us=2000 event=requests_open ids=r1,r2\n"
@@ -45,7 +45,7 @@
       "t_us=9000 event=start name=n zone=z\n";
   const auto killed = ExplainRequest(ParseLog(log, "a.log"), "r1");
   REQUIRE_FALSE(killed.empty());
-  CHECK(killed.back().find("ended without a word; it started again 7.0 ms later") !=
+  CHECK(killed.back().find("ended without logging a stop; it started again 7.0 ms later") !=
         std::string::npos);
   const auto served = ExplainRequest(ParseLog(log, "a.log"), "r2");
   CHECK(served.back().find("event=request_end id=r2") != std::string::npos);
