--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -66,22 +66,22 @@
   const auto share = [&](double part) {
     return std::chrono::duration_cast<milliseconds>(bound * part);
   };
-  follow::Settings wanted{share(kReadIntervalShare), share(kWatcherReadIntervalShare),
+  follow::Settings result{share(kReadIntervalShare), share(kWatcherReadIntervalShare),
                           share(kUrgentReadIntervalShare)};
   // Spreads the reads of the store over time when all daemons lose their relays at once.
   const double spread =
       static_cast<double>(std::hash<std::string>{}(settings.name) % kJitterSteps) /
       static_cast<double>(kJitterSteps);
-  wanted.configuration_patience = share(kConfigurationTimeoutShare);
-  wanted.relay_patience = share(kRelayTimeoutShare + kRelayTimeoutJitter * spread);
-  return wanted;
+  result.configuration_patience = share(kConfigurationTimeoutShare);
+  result.relay_patience = share(kRelayTimeoutShare + kRelayTimeoutJitter * spread);
+  return result;
 }
 
 quarantine::Settings QuarantineSettings(const GatewaySettings& settings) {
-  quarantine::Settings wanted;
-  wanted.servers = settings.quarantine_servers;
-  wanted.life = settings.quarantine_time;
-  return wanted;
+  quarantine::Settings result;
+  result.servers = settings.quarantine_servers;
+  result.life = settings.quarantine_time;
+  return result;
 }
 
 std::int64_t MillisecondsSince(SteadyTime time) {
@@ -243,12 +243,12 @@
 }
 
 void Gateway::ApplyConfiguration(const RoutingConfiguration& configuration) {
-  const ClientLimits& wanted = configuration.limits;
-  longest_idle_ = std::max(longest_idle_, wanted.idle_timeout);
+  const ClientLimits& configured = configuration.limits;
+  longest_idle_ = std::max(longest_idle_, configured.idle_timeout);
   HttpServerLimits limits;
-  limits.header_bytes = wanted.header_bytes;
-  limits.body_bytes = wanted.body_bytes;
-  limits.header_timeout = wanted.header_timeout;
+  limits.header_bytes = configured.header_bytes;
+  limits.body_bytes = configured.body_bytes;
+  limits.header_timeout = configured.header_timeout;
   limits.idle_timeout = std::chrono::duration_cast<milliseconds>(longest_idle_ * kIdleMargin);
   client_server_->UpdateLimits(limits);
   quota_.SetLimits(configuration.tenants);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -135,16 +135,16 @@
   std::optional<QuarantineNotice> pending_quarantine_record_;
   std::chrono::milliseconds longest_idle_{0};
   BootClock::time_point started_at_ = BootClock::now();
-  BootClock::time_point
-      last_report_at_{};  ///< Of the last report to the leader while following relays.
+  /// Time of the last report to the leader while following relays.
+  BootClock::time_point last_report_at_{};
   /// Send times of the latest change questions; answers to any other question are dropped.
   std::deque<std::int64_t> open_question_times_us_;
   BootClock::time_point last_question_at_{};
   BootClock::time_point leading_since_{};  ///< Zero if this daemon is not the leader.
   BootClock::time_point last_sharing_broadcast_{};
   std::int64_t quarantine_era_ = kEraUntold;  ///< Store era of the last quarantine record.
-  std::uint32_t fleet_size_ =
-      0;  ///< Number of daemons as last announced by the leader; 0 if unknown.
+  /// Number of daemons as last announced by the leader; 0 if unknown.
+  std::uint32_t fleet_size_ = 0;
   bool stopping_ = false;
   bool resigning_ = false;
   bool resigned_ = false;
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -27,6 +27,7 @@
 /// daemons that have not yet learned it.
 constexpr double kFreeRetriesShare = 0.5;
 constexpr double kMinFleetSize = 4;
+/// Also allowed to a daemon that does not know the fleet's size.
 constexpr double kMinFreeRetries = 2;
 
 }  // namespace
@@ -109,8 +110,8 @@
 }
 
 std::string Gateway::LeaderAddress() const {
-  std::string told = relays_.Asks() ? relays_.LeaderTold() : std::string();
-  if (!told.empty()) return told;
+  std::string leader_from_relay = relays_.Asks() ? relays_.LeaderTold() : std::string();
+  if (!leader_from_relay.empty()) return leader_from_relay;
   return election_.leader() ? election_.leader()->address : std::string();
 }
 
@@ -148,8 +149,9 @@
 void Gateway::ReportAsRelayFollower(const DemandReport& report) {
   const auto now = BootClock::now();
   const std::string leader = LeaderAddress();
-  const bool tells = !report.entries.empty() || !report.unreachable.empty() || report.stopping;
-  if (!leader.empty() && (tells || now - last_report_at_ >= kPresenceInterval)) {
+  const bool has_content =
+      !report.entries.empty() || !report.unreachable.empty() || report.stopping;
+  if (!leader.empty() && (has_content || now - last_report_at_ >= kPresenceInterval)) {
     last_report_at_ = now;
     channel_.SendReport(leader, report);
   }
@@ -197,8 +199,8 @@
 
 void Gateway::TakeAnswer(const ChangeAnswer& answer, const std::string& from) {
   const bool from_leader = LeaderAddress() == from;
-  const bool believed = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
-  if (!MatchesOpenQuestion(answer) || !believed || election_.leading()) {
+  const bool from_expected_sender = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
+  if (!MatchesOpenQuestion(answer) || !from_expected_sender || election_.leading()) {
     LogDroppedDatagram("answer matches no open question, or its sender is not the daemon asked",
                        from);
     return;
@@ -229,9 +231,9 @@
 /// that its request volume allows.
 void Gateway::SetFleetSize(std::uint32_t daemons) {
   fleet_size_ = daemons;
-  const double sharing = std::max<double>(daemons, kMinFleetSize);
+  const double daemons_sharing = std::max<double>(daemons, kMinFleetSize);
   pipeline_.SetFreeRepeats(
-      std::max(kMinFreeRetries, settings_.retry_minimum * kFreeRetriesShare / sharing));
+      std::max(kMinFreeRetries, settings_.retry_minimum * kFreeRetriesShare / daemons_sharing));
 }
 
 }  // namespace moorfold
