--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -111,12 +111,12 @@
       store_(store, metrics_),
       store_view_(context, store_, protocol, view_, metrics_, log, FollowSettings(settings_)),
       channel_(context, settings_.peer,
-               {[this](const DemandReport& report) { TakeReport(report); },
+               {[this](const DemandReport& report) { HandleDemandReport(report); },
                 [this](const PlacementNotice& notice, const std::string& from) {
                   ReceivePlacementNotice(notice, from);
                 },
                 [this](const ChangeAnswer& answer, const std::string& from) {
-                  TakeAnswer(answer, from);
+                  HandleChangeAnswer(answer, from);
                 },
                 [this](const LeadershipOffer&) { election_.LookNow(true); },
                 [this](const QuarantineNotice& notice, const std::string& from) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -61,7 +61,7 @@
   /// Sends a placement notice to all daemons, or to the relays only if the fleet uses relays; the
   /// relays then forward it.
   void BroadcastPlacementNotice(const PlacementNotice& notice);
-  void TakeAnswer(const ChangeAnswer& answer, const std::string& from);
+  void HandleChangeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerChangeQuestion(const DemandReport& report);
   bool MatchesOpenQuestion(const ChangeAnswer& answer) const;
   /// Logs a datagram that is ignored.
@@ -94,7 +94,7 @@
   void ReportToLeader(DemandReport report);
   void AttachChangeQuestion(DemandReport& report);
   void ReportAsRelayFollower(const DemandReport& report);
-  void TakeReport(const DemandReport& report);
+  void HandleDemandReport(const DemandReport& report);
   void TransferLeadership();
   std::vector<std::string> UnreachableServers() const;
   Awaitable<void> ReportDemand();
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -158,7 +158,7 @@
   if (QuestionDue(now)) relays_.Ask();
 }
 
-void Gateway::TakeReport(const DemandReport& report) {
+void Gateway::HandleDemandReport(const DemandReport& report) {
   members_.Note(report, BootClock::now());
   census_.Note(report.address, report.strength, BootClock::now());
   peers_.Note(report.address, BootClock::now());
@@ -197,7 +197,7 @@
                    answer.asked_at_us) != open_question_times_us_.end();
 }
 
-void Gateway::TakeAnswer(const ChangeAnswer& answer, const std::string& from) {
+void Gateway::HandleChangeAnswer(const ChangeAnswer& answer, const std::string& from) {
   const bool from_leader = LeaderAddress() == from;
   const bool from_expected_sender = relays_.Asks() ? relays_.TakeAnswer(answer, from) : from_leader;
   if (!MatchesOpenQuestion(answer) || !from_expected_sender || election_.leading()) {
