--- a/src/gateway/explain.cc
+++ b/src/gateway/explain.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// @return the value of `key` in a line of key=value pairs; quotes are kept out.
+/// @return the value of `key` in a line of key=value pairs; without quotes.
 std::string FieldOf(const std::string& text, const std::string& key) {
   const std::string wanted = key + "=";
   std::size_t at = 0;
@@ -26,12 +26,12 @@
   return text.substr(begin, text.find(' ', begin) - begin);
 }
 
-/// Beliefs of a daemon that outlast one line: the newest of each kind counts.
-bool IsBelief(const std::string& event) {
-  static const std::set<std::string> kBeliefs = {
+/// Whether an event changes the daemon's state; the latest of each kind is in effect.
+bool IsStateEvent(const std::string& event) {
+  static const std::set<std::string> kStateEvents = {
       "start",          "stopping",        "store_lost",          "store_in_touch", "configuration",
       "leadership_won", "leadership_lost", "leadership_resigned", "leader_seen",    "reload"};
-  return kBeliefs.contains(event);
+  return kStateEvents.contains(event);
 }
 
 constexpr double kMicrosecondsPerMillisecond = 1000;
@@ -43,37 +43,38 @@
   return text.str();
 }
 
-/// Whether a line is about the request, by itself or in a list.
-bool Names(const LoggedEvent& line, const std::string& request_id) {
+/// Whether a line is about the request, which it names in `id` or in the list `ids`.
+bool Mentions(const LoggedEvent& line, const std::string& request_id) {
   if (FieldOf(line.text, "id") == request_id) return true;
   const std::string ids = "," + FieldOf(line.text, "ids") + ",";
   return ids.find("," + request_id + ",") != std::string::npos;
 }
 
-/// What became of a daemon after its last line on a request that has no end: a start that no stop
-/// came before tells that the process was killed.
-std::string TellFate(const std::vector<const LoggedEvent*>& log, const LoggedEvent& last) {
+/// Tells what happened to the daemon after its last line about a request without an end. A start
+/// that no stop precedes means that the process was killed.
+std::string DescribeDaemonOutcome(const std::vector<const LoggedEvent*>& log,
+                                  const LoggedEvent& last) {
   bool stopped = false;
   for (const LoggedEvent* line : log) {
     if (line->time_us <= last.time_us) continue;
     stopped = stopped || line->event == "stopped";
     if (line->event != "start") continue;
     return stopped ? "  then: the daemon stopped as planned"
-                   : "  then: the daemon ended without a word; it started again " +
+                   : "  then: the daemon ended without logging a stop; it started again " +
                          Milliseconds(line->time_us - last.time_us) + " later";
   }
-  return "  then: nothing more; it is still under way, or the daemon has ended";
+  return "  then: no further lines; the request is still in progress, or the daemon has ended";
 }
 
-/// What one daemon's log says about the request.
-std::vector<std::string> ExplainAt(const std::vector<const LoggedEvent*>& log,
-                                   const std::string& request_id) {
+/// @return the explanation from one daemon's log; empty if it does not mention the request.
+std::vector<std::string> ExplainAtDaemon(const std::vector<const LoggedEvent*>& log,
+                                         const std::string& request_id) {
   std::set<std::string> servers;
   const LoggedEvent* first = nullptr;
   const LoggedEvent* last = nullptr;
   bool ended = false;
   for (const LoggedEvent* line : log) {
-    if (!Names(*line, request_id)) continue;
+    if (!Mentions(*line, request_id)) continue;
     if (first == nullptr) first = line;
     last = line;
     ended = ended || line->event == "request_end";
@@ -81,31 +82,31 @@
     if (!server.empty()) servers.insert(server);
   }
   if (first == nullptr) return {};
-  std::map<std::string, const LoggedEvent*> beliefs;
+  std::map<std::string, const LoggedEvent*> known_state;
   for (const LoggedEvent* line : log) {
     if (line->time_us > last->time_us) break;
-    if (IsBelief(line->event)) beliefs[line->event] = line;
+    if (IsStateEvent(line->event)) known_state[line->event] = line;
     const std::string server = FieldOf(line->text, "server");
     const bool about_server = line->event.starts_with("server") || line->event == "order";
-    if (about_server && servers.contains(server)) beliefs[line->event + " " + server] = line;
+    if (about_server && servers.contains(server)) known_state[line->event + " " + server] = line;
   }
-  std::vector<std::string> told = {"at " + first->source + ":"};
+  std::vector<std::string> report = {"at " + first->source + ":"};
   std::vector<const LoggedEvent*> ordered;
-  for (const auto& [name, line] : beliefs) ordered.push_back(line);
+  for (const auto& [name, line] : known_state) ordered.push_back(line);
   std::sort(ordered.begin(), ordered.end(),
             [](const LoggedEvent* a, const LoggedEvent* b) { return a->time_us < b->time_us; });
   for (const LoggedEvent* line : ordered)
-    told.push_back("  believed, " + Milliseconds(last->time_us - line->time_us) +
-                   " before its end: " + line->text);
+    report.push_back("  believed, " + Milliseconds(last->time_us - line->time_us) +
+                     " before its end: " + line->text);
   for (const LoggedEvent* line : log)
-    if (Names(*line, request_id)) told.push_back("  request: " + line->text);
-  if (!ended) told.push_back(TellFate(log, *last));
-  return told;
+    if (Mentions(*line, request_id)) report.push_back("  request: " + line->text);
+  if (!ended) report.push_back(DescribeDaemonOutcome(log, *last));
+  return report;
 }
 
-/// A collector that gathers several daemons' lines puts each one's name before its line.
-/// @return the last word before the line's time, or an empty text.
-std::string WriterOf(const std::string& line) {
+/// Extracts the daemon name that a log collector puts before each line.
+/// @return the last word before the line's time; empty if there is none.
+std::string DaemonNameOf(const std::string& line) {
   const std::size_t time = line.find("t_us=");
   if (time == std::string::npos) return {};
   const std::size_t end = line.find_last_not_of(' ', time == 0 ? std::string::npos : time - 1);
@@ -129,7 +130,7 @@
     const std::size_t at = line.find("event=");
     if (at == std::string::npos) continue;
     LoggedEvent event;
-    const std::string writer = WriterOf(line);
+    const std::string writer = DaemonNameOf(line);
     event.source = writer.empty() ? source : writer;
     event.text = line.substr(at);
     event.event = FieldOf(event.text, "event");
@@ -144,10 +145,10 @@
                                         const std::string& request_id) {
   std::map<std::string, std::vector<const LoggedEvent*>> by_source;
   for (const LoggedEvent& event : events) by_source[event.source].push_back(&event);
-  std::vector<std::string> told;
+  std::vector<std::string> report;
   for (const auto& [source, log] : by_source)
-    for (std::string& line : ExplainAt(log, request_id)) told.push_back(std::move(line));
-  return told;
+    for (std::string& line : ExplainAtDaemon(log, request_id)) report.push_back(std::move(line));
+  return report;
 }
 
 }  // namespace moorfold
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -18,37 +18,41 @@
 constexpr const char* kLeaderKey = "moorfold/leader";
 constexpr const char* kSharingKey = "moorfold/quota-sharing";
 constexpr const char* kQuarantineKey = "moorfold/quarantine";
-/// Share of the tighter staleness bound that passes between two reads of the store; the rest is for
-/// the calls, for requests on their way, and for a weak machine. With all of the bound but
-/// 0.9 s as the pause, servers were used too late on two days of six of a fleet of 86 daemons.
-constexpr double kReadShare = 0.55;
-/// The same for a leader that others follow. What a follower knows is older by up to its question's
-/// interval, and must stay younger than `kReadShare` also when one datagram is lost.
-constexpr double kWatcherReadShare = 0.1;
-/// Two reads for which there is a reason, as a newer configuration, lie at least so far apart: with
-/// a question's interval that is still within `kReadShare` of a bound of 3 s or more.
-constexpr double kUrgentReadShare = 0.35;
-/// Silence of all relays after which a daemon reads the store for servers: what is left of the
-/// bound has to do for the read.
-constexpr double kRelayPatienceShare = 0.7;
-/// For a newer configuration to come from a relay, before the store is read for it.
-constexpr double kConfigurationPatienceShare = 0.2;
-constexpr double kRelayPatienceSpread = 0.15;  ///< Added to it, from none to all of it.
-constexpr std::size_t kSpreadSteps = 1'000;
-constexpr milliseconds kHousekeeping{500};
-/// A timer that is so late tells of a process that stood still or had to wait for the processor:
-/// a tenth of the time that a configuration may take where that is 2 s.
-constexpr milliseconds kStallNoted{200};
-/// How limits are shared out is told when it changes, and so often: a datagram may be lost.
-constexpr milliseconds kTellSharing{2'000};
+/// Interval between two reads of the store, as a share of the tighter staleness bound. The rest
+/// covers the store calls, requests in flight and slow machines. With an interval of the bound
+/// less 0.9 s, a fleet of 86 daemons used servers beyond the bound on two of six days.
+constexpr double kReadIntervalShare = 0.55;
+/// The same for a leader that other daemons follow. A follower's data is older by up to its polling
+/// interval and must stay within `kReadIntervalShare` even if one datagram is lost.
+constexpr double kWatcherReadIntervalShare = 0.1;
+/// Minimum interval between two reads that are triggered by an event, such as a newer
+/// configuration. Together with the polling interval it stays within `kReadIntervalShare` for
+/// bounds of 3 s or more.
+constexpr double kUrgentReadIntervalShare = 0.35;
+/// Time without an answer from any relay after which a daemon reads the servers from the store
+/// itself; the rest of the bound has to suffice for that read.
+constexpr double kRelayTimeoutShare = 0.7;
+/// Time to wait for a newer configuration from a relay before it is read from the store.
+constexpr double kConfigurationTimeoutShare = 0.2;
+constexpr double kRelayTimeoutJitter =
+    0.15;  ///< Upper limit of the jitter added to kRelayTimeoutShare.
+constexpr std::size_t kJitterSteps = 1'000;
+constexpr milliseconds kPeriodicTaskInterval{500};
+/// A timer that fires this late shows that the process was suspended or waited for the CPU. The
+/// value is a tenth of a configuration bound of 2 s.
+constexpr milliseconds kStallThreshold{200};
+/// The sharing of tenants' limits is broadcast on change and at this interval, since a datagram may
+/// be lost.
+constexpr milliseconds kSharingBroadcastInterval{2'000};
 constexpr milliseconds kLeaderLease{3'000};
-constexpr milliseconds kStopCheck{50};
-/// Until whoever deals connections has seen twice that this daemon is not ready.
-constexpr milliseconds kNotReadySeen{2'600};
-constexpr milliseconds kReserve{300};
-/// Before the end of the drain time, whatever has no answer yet gets one.
-constexpr milliseconds kLastAnswers{600};
-/// Clients may use a connection until shortly before the configured idle time has passed.
+constexpr milliseconds kStopPollInterval{50};
+/// Time for the load balancer to see twice that this daemon is not ready.
+constexpr milliseconds kNotReadyPropagation{2'600};
+constexpr milliseconds kStopMargin{300};
+/// Time before the end of the drain timeout at which all unanswered requests get an answer.
+constexpr milliseconds kFinalAnswerMargin{600};
+/// Factor on the configured idle timeout: clients may reuse a connection until shortly before the
+/// configured timeout expires, so the server closes it later.
 constexpr double kIdleMargin = 1.2;
 
 milliseconds CandidacyDelay(const GatewaySettings& settings) {
@@ -62,21 +66,22 @@
   const auto share = [&](double part) {
     return std::chrono::duration_cast<milliseconds>(bound * part);
   };
-  follow::Settings wanted{share(kReadShare), share(kWatcherReadShare), share(kUrgentReadShare)};
-  // Where relays are lost, daemons do not all read the store at the same moment.
+  follow::Settings result{share(kReadIntervalShare), share(kWatcherReadIntervalShare),
+                          share(kUrgentReadIntervalShare)};
+  // Spreads the reads of the store over time when all daemons lose their relays at once.
   const double spread =
-      static_cast<double>(std::hash<std::string>{}(settings.name) % kSpreadSteps) /
-      static_cast<double>(kSpreadSteps);
-  wanted.configuration_relay_timeout = share(kConfigurationPatienceShare);
-  wanted.relay_timeout = share(kRelayPatienceShare + kRelayPatienceSpread * spread);
-  return wanted;
+      static_cast<double>(std::hash<std::string>{}(settings.name) % kJitterSteps) /
+      static_cast<double>(kJitterSteps);
+  result.configuration_relay_timeout = share(kConfigurationTimeoutShare);
+  result.relay_timeout = share(kRelayTimeoutShare + kRelayTimeoutJitter * spread);
+  return result;
 }
 
 quarantine::Settings QuarantineSettings(const GatewaySettings& settings) {
-  quarantine::Settings wanted;
-  wanted.servers = settings.quarantine_servers;
-  wanted.retention = settings.quarantine_time;
-  return wanted;
+  quarantine::Settings result;
+  result.servers = settings.quarantine_servers;
+  result.retention = settings.quarantine_time;
+  return result;
 }
 
 std::int64_t MillisecondsSince(SteadyTime time) {
@@ -106,12 +111,12 @@
       store_(store, metrics_),
       store_view_(context, store_, protocol, view_, metrics_, log, FollowSettings(settings_)),
       channel_(context, settings_.peer,
-               {[this](const DemandReport& report) { TakeReport(report); },
+               {[this](const DemandReport& report) { HandleDemandReport(report); },
                 [this](const PlacementNotice& notice, const std::string& from) {
-                  HearNotice(notice, from);
+                  ReceivePlacementNotice(notice, from);
                 },
                 [this](const ChangeAnswer& answer, const std::string& from) {
-                  TakeAnswer(answer, from);
+                  HandleChangeAnswer(answer, from);
                 },
                 [this](const LeadershipOffer&) { election_.ReadLeaderKeyNow(true); },
                 [this](const QuarantineNotice& notice, const std::string& from) {
@@ -119,7 +124,7 @@
                   quarantine_.Hear(notice);
                 },
                 [this](const CreditSharing& sharing, const std::string& from) {
-                  if (LeaderAddress() == from) TakeSharing(sharing);
+                  if (LeaderAddress() == from) ApplySharing(sharing);
                 },
                 [this](const CreditQuestion& question, const std::string& from) {
                   quota_.Hear(question, from);
@@ -131,7 +136,7 @@
                   if (LeaderAddress() == from)
                     relays_.ApplyPlan(plan);
                   else
-                    NoteDropped("a plan of relays that is not the leader's", from);
+                    LogDroppedDatagram("relay plan from a sender other than the leader", from);
                 },
                 [this](const ServersRequest& question, const std::string& from) {
                   relays_.AnswerServersQuestion(question, from);
@@ -156,7 +161,7 @@
                       LogRank::kRoutine,
                       EventLine(LogEvent::kDatagramDropped).Field(LogField::kProblem, problem));
                 },
-                [this](const UndecodableMessage& message) { NoteUnread(message); }}),
+                [this](const UndecodableMessage& message) { RecordUnreadableMessage(message); }}),
       election_(context, store_, log,
                 {settings_.name, ToString(channel_.endpoint()), kLeaderKey, kLeaderLease,
                  settings_.order_handover, settings_.load_window, CandidacyDelay(settings_)}),
@@ -164,8 +169,8 @@
       controller_(context, protocol, view_, election_, statements_, metrics_, log,
                   {settings_.name, settings_.load_window},
                   [this](const PlacementNotice& notice) {
-                    TakeNotice(notice);
-                    SpreadNotice(notice);
+                    ApplyPlacementNotice(notice);
+                    BroadcastPlacementNotice(notice);
                   }),
       quarantine_(context, QuarantineSettings(settings_), log, metrics_.quarantine,
                   QuarantinePorts()),
@@ -184,14 +189,14 @@
   view_.configuration_bound = settings_.configuration_bound;
   view_.staleness_bound = settings_.staleness_bound;
   const std::vector<boost::asio::io_context*> contexts = {&context_};
-  front_ = std::make_unique<HttpServer>(
+  client_server_ = std::make_unique<HttpServer>(
       contexts, settings_.listen, HttpServerLimits{},
       [this](HttpServerExchange& exchange) { return pipeline_.Handle(exchange); }, Reject);
-  readiness_ = std::make_unique<HttpServer>(
+  readiness_server_ = std::make_unique<HttpServer>(
       contexts, settings_.readiness, HttpServerLimits{},
       [this](HttpServerExchange& exchange) { return AnswerReadiness(exchange); }, Reject);
   if (!settings_.metrics) return;
-  figures_ = std::make_unique<HttpServer>(
+  metrics_server_ = std::make_unique<HttpServer>(
       contexts, Endpoint{settings_.listen.address, settings_.metrics->port}, HttpServerLimits{},
       [this](HttpServerExchange& exchange) { return AnswerMetrics(exchange); }, Reject);
 }
@@ -200,20 +205,20 @@
   log_.Write(LogRank::kFailure, EventLine(LogEvent::kStart)
                                     .Field(LogField::kName, settings_.name)
                                     .Field(LogField::kZone, settings_.zone)
-                                    .Field(LogField::kListen, ToString(front_->endpoint()))
+                                    .Field(LogField::kListen, ToString(client_server_->endpoint()))
                                     .Field(LogField::kStore, ToString(settings_.store))
                                     .Field(LogField::kPeakMemoryKb, PeakMemoryKilobytes()));
-  front_->Start();
-  readiness_->Start();
-  if (figures_) figures_->Start();
+  client_server_->Start();
+  readiness_server_->Start();
+  if (metrics_server_) metrics_server_->Start();
   channel_.Start();
   store_view_.Subscribe(quarantine_record_.key(),
                         [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                          TakeQuarantineRecord(entry, revision);
+                          HandleQuarantineRecord(entry, revision);
                         });
   store_view_.Subscribe(sharing_record_.key(),
                         [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
-                          TakeSharingRecord(entry, revision);
+                          HandleSharingRecord(entry, revision);
                         });
   store_view_.Subscribe(relays_.key(),
                         [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
@@ -221,7 +226,7 @@
                         });
   quota_.Start();
   statements_.OnLimitEnded([this](const Server& server) { permits_.ReportLimitRemoved(server); });
-  // A start under the same id is the end of the process before.
+  // A restart under the same id implies that the previous process ended.
   store_view_.OnRestart([this](const std::string& id) {
     if (quarantine_.tracker().AwaitsConfirmation(id)) quarantine_.Note(quarantine::ServerEnded{id});
   });
@@ -230,24 +235,25 @@
       [this](const std::optional<KeyValue>& entry, StoreRevision revision) {
         election_.KeyChanged(entry, revision);
       },
-      [this](const RoutingConfiguration& configuration) { Configure(configuration); });
+      [this](const RoutingConfiguration& configuration) { ApplyConfiguration(configuration); });
   election_.Start();
   controller_.Start();
   boost::asio::co_spawn(context_, ReportDemand(), boost::asio::detached);
-  boost::asio::co_spawn(context_, KeepHouse(), boost::asio::detached);
+  boost::asio::co_spawn(context_, RunPeriodicTasks(), boost::asio::detached);
 }
 
-void Gateway::Configure(const RoutingConfiguration& configuration) {
-  const ClientLimits& wanted = configuration.limits;
-  longest_idle_ = std::max(longest_idle_, wanted.idle_timeout);
+void Gateway::ApplyConfiguration(const RoutingConfiguration& configuration) {
+  const ClientLimits& configured = configuration.limits;
+  longest_idle_ = std::max(longest_idle_, configured.idle_timeout);
   HttpServerLimits limits;
-  limits.header_bytes = wanted.header_bytes;
-  limits.body_bytes = wanted.body_bytes;
-  limits.header_timeout = wanted.header_timeout;
+  limits.header_bytes = configured.header_bytes;
+  limits.body_bytes = configured.body_bytes;
+  limits.header_timeout = configured.header_timeout;
   limits.idle_timeout = std::chrono::duration_cast<milliseconds>(longest_idle_ * kIdleMargin);
-  front_->UpdateLimits(limits);
+  client_server_->UpdateLimits(limits);
   quota_.SetLimits(configuration.tenants);
-  if (early_record_) quarantine_.Hear(*std::exchange(early_record_, std::nullopt));
+  if (pending_quarantine_record_)
+    quarantine_.Hear(*std::exchange(pending_quarantine_record_, std::nullopt));
 }
 
 Awaitable<void> Gateway::AnswerReadiness(HttpServerExchange& exchange) {
@@ -309,9 +315,9 @@
   return view_.routes && view_.routes->configuration().FindService(service) != nullptr;
 }
 
-void Gateway::TakeQuarantineRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
-  // A copy shows what was quarantined then. This daemon knows what has been since: it would release
-  // nothing, but quarantine anew what was released meanwhile.
+void Gateway::HandleQuarantineRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
+  // A store restored from an older copy has an outdated record, while this daemon knows the later
+  // changes. Applying the record releases nothing but quarantines again what was released since.
   const bool copy = quarantine_era_ != kEraUntold && revision.era > quarantine_era_;
   quarantine_era_ = std::max(quarantine_era_, revision.era);
   quarantine_record_.Seen(entry ? entry->value : "", revision);
@@ -320,10 +326,10 @@
   if (view_.routes)
     quarantine_.Hear(record);
   else
-    early_record_ = std::move(record);
+    pending_quarantine_record_ = std::move(record);
 }
 
-void Gateway::KeepQuarantine() {
+void Gateway::UpdateQuarantine() {
   quarantine_.Tick();
   if (election_.leading()) quarantine_record_.Write(quarantine_.QuarantinedCases());
 }
@@ -360,7 +366,7 @@
   return ports;
 }
 
-void Gateway::TakeSharing(const CreditSharing& sharing) {
+void Gateway::ApplySharing(const CreditSharing& sharing) {
   if (sharing == quota_.sharing()) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kSharing)
                                      .Field(LogField::kDaemons, sharing.daemons)
@@ -368,14 +374,14 @@
   quota_.SetSharing(sharing);
 }
 
-void Gateway::TakeSharingRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
+void Gateway::HandleSharingRecord(const std::optional<KeyValue>& entry, StoreRevision revision) {
   sharing_record_.Seen(entry, revision);
-  // What a leader has told is newer.
+  // A sharing received from a leader is newer than the stored one.
   if (!entry || quota_.sharing().daemons > 0) return;
-  TakeSharing(DecodeMessage<CreditSharing>(entry->value));
+  ApplySharing(DecodeMessage<CreditSharing>(entry->value));
 }
 
-void Gateway::ShareQuotas() {
+void Gateway::UpdateQuotaSharing() {
   const auto now = BootClock::now();
   if (!election_.leading()) {
     leading_since_ = {};
@@ -386,37 +392,37 @@
   const CreditSharing sharing = census_.Count(quota_.sharing(), leading_since_, now);
   if (sharing.daemons == 0) return;
   const bool changed = sharing != quota_.sharing();
-  TakeSharing(sharing);
+  ApplySharing(sharing);
   sharing_record_.Write(sharing);
-  if (!changed && now - sharing_told_ < kTellSharing) return;
-  sharing_told_ = now;
+  if (!changed && now - last_sharing_broadcast_ < kSharingBroadcastInterval) return;
+  last_sharing_broadcast_ = now;
   channel_.Broadcast(sharing);
 }
 
-void Gateway::NoteStall(BootClock::time_point due) {
+void Gateway::RecordStall(BootClock::time_point due) {
   const auto late = std::chrono::duration_cast<milliseconds>(BootClock::now() - due);
-  if (late < kStallNoted) return;
+  if (late < kStallThreshold) return;
   ++metrics_.stalls;
-  metrics_.stalled_ms = std::max<std::int64_t>(metrics_.stalled_ms, late.count());
+  metrics_.longest_stall_ms = std::max<std::int64_t>(metrics_.longest_stall_ms, late.count());
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kStalled)
                                      .Field(LogField::kMs, late.count())
                                      .Field(LogField::kConfigurationAgeMs,
                                             MillisecondsSince(view_.configuration_current_at)));
 }
 
-Awaitable<void> Gateway::KeepHouse() {
+Awaitable<void> Gateway::RunPeriodicTasks() {
   while (true) {
-    const auto due = BootClock::now() + kHousekeeping;
-    co_await Sleep(kHousekeeping);
-    NoteStall(due);
-    if (election_.leading()) TakeSize(Daemons());
+    const auto due = BootClock::now() + kPeriodicTaskInterval;
+    co_await Sleep(kPeriodicTaskInterval);
+    RecordStall(due);
+    if (election_.leading()) SetFleetSize(FleetSizeFromReports());
     const bool large =
-        settings_.relay_from_daemons > 0 && Daemons() >= settings_.relay_from_daemons;
+        settings_.relay_from_daemons > 0 && FleetSizeFromReports() >= settings_.relay_from_daemons;
     store_view_.SetWatching((election_.leading() && large) || relays_.Watches());
     relays_.Tick();
     store_view_.ObserveEra(store_.era());
-    KeepQuarantine();
-    ShareQuotas();
+    UpdateQuarantine();
+    UpdateQuotaSharing();
     pipeline_.Sweep();
     pipeline_.LogOpenRequests();
     log_.Flush();
@@ -434,29 +440,32 @@
 void Gateway::BeginStop() {
   if (stopping_) return;
   stopping_ = true;
-  log_.Write(LogRank::kFailure, EventLine(LogEvent::kStopping)
-                                    .Field(LogField::kConnections, front_->open_connections())
-                                    .Field(LogField::kActiveRequests, front_->active_requests()));
-  front_->AnnounceClose();
+  log_.Write(LogRank::kFailure,
+             EventLine(LogEvent::kStopping)
+                 .Field(LogField::kConnections, client_server_->open_connections())
+                 .Field(LogField::kActiveRequests, client_server_->active_requests()));
+  client_server_->AnnounceClose();
   controller_.Stop();
   election_.StopOrdering();
   boost::asio::co_spawn(context_, Stop(), boost::asio::detached);
 }
 
-/// New work is taken until those who deal connections have seen that this daemon is not ready; then
-/// only what was begun is brought to its end, since later work might not end in time.
-bool Gateway::Drained(BootClock::duration elapsed) {
-  if (elapsed >= settings_.drain_timeout - kReserve) return true;
-  if (elapsed < kNotReadySeen) return false;
-  front_->StopAccepting();
-  front_->CloseIdle();
+/// Accepts new requests until the load balancer has seen that this daemon is not ready. From then
+/// on only requests in progress continue, since later ones might not finish in time.
+/// @return whether the daemon can stop.
+bool Gateway::AdvanceDrain(BootClock::duration elapsed) {
+  if (elapsed >= settings_.drain_timeout - kStopMargin) return true;
+  if (elapsed < kNotReadyPropagation) return false;
+  client_server_->StopAccepting();
+  client_server_->CloseIdle();
   pipeline_.RefuseWaiting();
-  if (elapsed >= settings_.drain_timeout - kLastAnswers) pipeline_.TimeOutUnanswered();
-  return front_->open_connections() == 0;
+  if (elapsed >= settings_.drain_timeout - kFinalAnswerMargin) pipeline_.TimeOutUnanswered();
+  return client_server_->open_connections() == 0;
 }
 
-/// Once no order is without its answer; the store has to know before the successor looks.
-void Gateway::HandLeadershipOn() {
+/// Resigns once no order is awaiting its answer. The store must hold the resignation before the
+/// successor reads it, so the offer is sent only afterwards.
+void Gateway::TransferLeadership() {
   if (resigning_ || controller_.sending() > 0) return;
   resigning_ = true;
   const bool led = election_.leading();
@@ -471,19 +480,20 @@
 Awaitable<void> Gateway::Stop() {
   const auto began = BootClock::now();
   while (true) {
-    HandLeadershipOn();
+    TransferLeadership();
     const auto elapsed = BootClock::now() - began;
-    const bool last_moment = elapsed >= settings_.drain_timeout - kReserve;
-    if (Drained(elapsed) && (resigned_ || last_moment)) break;
-    co_await Sleep(kStopCheck);
+    const bool last_moment = elapsed >= settings_.drain_timeout - kStopMargin;
+    if (AdvanceDrain(elapsed) && (resigned_ || last_moment)) break;
+    co_await Sleep(kStopPollInterval);
   }
   pipeline_.ReportInterrupted();
-  log_.Write(LogRank::kFailure, EventLine(LogEvent::kStopped)
-                                    .Field(LogField::kConnections, front_->open_connections())
-                                    .Field(LogField::kActiveRequests, front_->active_requests())
-                                    .Field(LogField::kRequests, metrics_.requests)
-                                    .Field(LogField::kLogLinesLost, log_.lost())
-                                    .Field(LogField::kPeakMemoryKb, PeakMemoryKilobytes()));
+  log_.Write(LogRank::kFailure,
+             EventLine(LogEvent::kStopped)
+                 .Field(LogField::kConnections, client_server_->open_connections())
+                 .Field(LogField::kActiveRequests, client_server_->active_requests())
+                 .Field(LogField::kRequests, metrics_.requests)
+                 .Field(LogField::kLogLinesLost, log_.lost())
+                 .Field(LogField::kPeakMemoryKb, PeakMemoryKilobytes()));
   log_.Flush();
   context_.stop();
 }
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -1,4 +1,5 @@
-// What a gateway says to other daemons and hears from them: demand, what has changed, placements.
+// The gateway's messages to and from other daemons: demand reports, change questions and answers,
+// placement notices.
 
 #include <algorithm>
 
@@ -11,26 +12,27 @@
 
 using std::chrono::milliseconds;
 
-/// Addresses in one answer of the leader: a fleet of seven knows all after two answers, one of 295
-/// knows as many as it keeps within half a minute.
-constexpr std::size_t kPeersTold = 4;
-constexpr milliseconds kReportEvery{500};
-/// By then the server's record shows that the model is gone, or that it stayed.
-constexpr milliseconds kUnloadSettles{5'000};
-constexpr milliseconds kReportPause{60};
-/// A daemon without demand that follows relays tells the leader so often that it is there.
-constexpr milliseconds kPresenceEvery{3'000};
-/// Answers to older questions are not waited for.
-constexpr std::size_t kQuestionsOpen = 4;
-/// Of the fleet's free repeats, for daemons that reported to the leader; the rest is left to those
-/// that have not heard how large the fleet is.
-constexpr double kFreeRepeatsUsed = 0.5;
-constexpr double kSmallestFleet = 4;
-constexpr double kFreeRepeatsOfUnknownFleet = 2;
+/// Peer addresses in one answer. In a fleet of seven a daemon knows all peers after two answers; in
+/// a fleet of 295 it has as many as it keeps within half a minute.
+constexpr std::size_t kPeersPerAnswer = 4;
+constexpr milliseconds kReportInterval{500};
+/// Time after which the server's record shows whether the model was unloaded.
+constexpr milliseconds kUnloadSettleTime{5'000};
+constexpr milliseconds kMinReportGap{60};
+/// Interval at which a relay follower without demand reports to the leader to stay a known member.
+constexpr milliseconds kPresenceInterval{3'000};
+/// Number of change questions that may await an answer; older ones are abandoned.
+constexpr std::size_t kMaxOpenQuestions = 4;
+/// Share of the fleet's free retries for daemons that know the fleet's size. The rest is left to
+/// daemons that have not yet learned it.
+constexpr double kFreeRetriesShare = 0.5;
+constexpr double kMinFleetSize = 4;
+/// Also allowed to a daemon that does not know the fleet's size.
+constexpr double kMinFreeRetries = 2;
 
 }  // namespace
 
-void Gateway::SpreadNotice(const PlacementNotice& notice) {
+void Gateway::BroadcastPlacementNotice(const PlacementNotice& notice) {
   if (!relays_.plan().needed()) {
     channel_.Broadcast(notice);
     return;
@@ -38,13 +40,13 @@
   for (const std::string& relay : relays_.plan().AllRelays()) channel_.SendTo(relay, notice);
 }
 
-void Gateway::HearNotice(const PlacementNotice& notice, const std::string& from) {
-  TakeNotice(notice);
-  // Only what comes from the leader is passed on: no notice goes round.
+void Gateway::ReceivePlacementNotice(const PlacementNotice& notice, const std::string& from) {
+  ApplyPlacementNotice(notice);
+  // Relays forward only notices from the leader, which prevents forwarding loops.
   if (relays_.IsRelay() && from == LeaderAddress()) channel_.Broadcast(notice);
 }
 
-void Gateway::TakeNotice(const PlacementNotice& notice) {
+void Gateway::ApplyPlacementNotice(const PlacementNotice& notice) {
   const ServerPtr server = view_.servers.Find(notice.server_id);
   if (!server || IsLaterIncarnation(server->record().life, notice.life)) return;
   const auto now = BootClock::now();
@@ -55,7 +57,7 @@
   if (notice.held)
     view_.servers.RecordModelHeld(server, notice.name, now);
   else
-    server->RecordModelMissing(notice.name, now, kUnloadSettles);
+    server->RecordModelMissing(notice.name, now, kUnloadSettleTime);
   if (notice.held) view_.changed.NotifyAll();
 }
 
@@ -67,14 +69,15 @@
   return servers;
 }
 
-/// Reports come more often while requests wait; questions need not.
-bool Gateway::AskNow(BootClock::time_point now) {
-  if (now - asked_ < kReportEvery - kReportPause) return false;
-  asked_ = now;
+/// Limits the rate of change questions: reports are sent more often while requests wait, questions
+/// are not.
+bool Gateway::QuestionDue(BootClock::time_point now) {
+  if (now - last_question_at_ < kReportInterval - kMinReportGap) return false;
+  last_question_at_ = now;
   return true;
 }
 
-DemandReport Gateway::DescribeSelf() const {
+DemandReport Gateway::MakeEmptyReport() const {
   DemandReport report;
   report.sender = settings_.name;
   report.address = ToString(channel_.endpoint());
@@ -95,66 +98,67 @@
   };
   ports.broadcast = [this](const FleetMessage& message) { channel_.Broadcast(message); };
   ports.ask = [this] {
-    DemandReport report = DescribeSelf();
-    AskForChanges(report);
+    DemandReport report = MakeEmptyReport();
+    AttachChangeQuestion(report);
     return report;
   };
   ports.leads = [this] { return election_.leading(); };
   ports.dropped = [this](const std::string& problem, const std::string& from) {
-    NoteDropped(problem, from);
+    LogDroppedDatagram(problem, from);
   };
   return ports;
 }
 
 std::string Gateway::LeaderAddress() const {
-  std::string told = relays_.UsesRelays() ? relays_.ReportedLeader() : std::string();
-  if (!told.empty()) return told;
+  std::string leader_from_relay = relays_.UsesRelays() ? relays_.ReportedLeader() : std::string();
+  if (!leader_from_relay.empty()) return leader_from_relay;
   return election_.leader() ? election_.leader()->address : std::string();
 }
 
 Awaitable<void> Gateway::ReportDemand() {
   while (true) {
-    co_await view_.demand_raised.Wait(BootClock::now() + kReportEvery);
-    DemandReport report = DescribeSelf();
+    co_await view_.demand_raised.Wait(BootClock::now() + kReportInterval);
+    DemandReport report = MakeEmptyReport();
     report.entries = view_.demand.Take();
     report.unreachable = UnreachableServers();
     if (election_.leading())
       controller_.AddReport(report);
     else if (relays_.UsesRelays())
-      ReportBesideRelays(report);
+      ReportAsRelayFollower(report);
     else
       ReportToLeader(std::move(report));
-    co_await Sleep(kReportPause);
+    co_await Sleep(kMinReportGap);
   }
 }
 
 void Gateway::ReportToLeader(DemandReport report) {
   const std::string leader = LeaderAddress();
   if (leader.empty()) return;
-  if (AskNow(BootClock::now())) AskForChanges(report);
+  if (QuestionDue(BootClock::now())) AttachChangeQuestion(report);
   channel_.SendReport(leader, report);
 }
 
-void Gateway::AskForChanges(DemandReport& report) {
+void Gateway::AttachChangeQuestion(DemandReport& report) {
   report.question = store_view_.MakeChangeQuestion();
   if (!report.question) return;
-  asked_at_us_.push_back(report.question->asked_at_us);
-  if (asked_at_us_.size() > kQuestionsOpen) asked_at_us_.pop_front();
+  open_question_times_us_.push_back(report.question->asked_at_us);
+  if (open_question_times_us_.size() > kMaxOpenQuestions) open_question_times_us_.pop_front();
 }
 
-/// What the leader has to know of a daemon that follows relays is its demand, and that it is there.
-void Gateway::ReportBesideRelays(const DemandReport& report) {
+/// From a relay follower the leader needs only its demand and a sign that it is alive.
+void Gateway::ReportAsRelayFollower(const DemandReport& report) {
   const auto now = BootClock::now();
   const std::string leader = LeaderAddress();
-  const bool tells = !report.entries.empty() || !report.unreachable.empty() || report.stopping;
-  if (!leader.empty() && (tells || now - reported_ >= kPresenceEvery)) {
-    reported_ = now;
+  const bool has_content =
+      !report.entries.empty() || !report.unreachable.empty() || report.stopping;
+  if (!leader.empty() && (has_content || now - last_report_at_ >= kPresenceInterval)) {
+    last_report_at_ = now;
     channel_.SendReport(leader, report);
   }
-  if (AskNow(now)) relays_.RequestChanges();
+  if (QuestionDue(now)) relays_.RequestChanges();
 }
 
-void Gateway::TakeReport(const DemandReport& report) {
+void Gateway::HandleDemandReport(const DemandReport& report) {
   members_.Note(report, BootClock::now());
   census_.Note(report.address, report.strength, BootClock::now());
   peers_.Note(report.address, BootClock::now());
@@ -162,47 +166,50 @@
     quarantine_.SendCasesIfDigestDiffers(report.quarantine_digest, report.address);
   relays_.TakeReport(report);
   controller_.AddReport(report);
-  if (report.question) AnswerQuestion(report);
+  if (report.question) AnswerChangeQuestion(report);
 }
 
-void Gateway::AnswerQuestion(const DemandReport& report) {
+void Gateway::AnswerChangeQuestion(const DemandReport& report) {
   const ChangeRequest& question = *report.question;
   ChangeAnswer answer;
   if (election_.leading() || relays_.IsRelay()) {
-    const std::uint32_t daemons = election_.leading() ? Daemons() : relays_.plan().daemons;
+    const std::uint32_t daemons =
+        election_.leading() ? FleetSizeFromReports() : relays_.plan().daemons;
     answer = store_view_.MakeChangeAnswer(question, daemons, report.relay_plan.has_value());
     answer.leader = LeaderAddress();
   } else {
     answer.asked_at_us = question.asked_at_us;
     answer.leads = false;
   }
-  answer.peers = members_.NextAddresses(kPeersTold);
+  answer.peers = members_.NextAddresses(kPeersPerAnswer);
   answer.quarantine_digest = quarantine_.tracker().Digest();
   ++metrics_.relay_answers_sent;
   channel_.SendTo(report.address, answer);
 }
 
-void Gateway::NoteDropped(const std::string& problem, const std::string& from) {
+void Gateway::LogDroppedDatagram(const std::string& problem, const std::string& from) {
   log_.Write(LogRank::kRoutine, EventLine(LogEvent::kDatagramDropped)
                                     .Field(LogField::kProblem, problem)
                                     .Field(LogField::kAddress, from));
 }
 
-bool Gateway::Expected(const ChangeAnswer& answer) const {
-  return std::find(asked_at_us_.begin(), asked_at_us_.end(), answer.asked_at_us) !=
-         asked_at_us_.end();
+bool Gateway::MatchesOpenQuestion(const ChangeAnswer& answer) const {
+  return std::find(open_question_times_us_.begin(), open_question_times_us_.end(),
+                   answer.asked_at_us) != open_question_times_us_.end();
 }
 
-void Gateway::TakeAnswer(const ChangeAnswer& answer, const std::string& from) {
+void Gateway::HandleChangeAnswer(const ChangeAnswer& answer, const std::string& from) {
   const bool from_leader = LeaderAddress() == from;
-  const bool believed = relays_.UsesRelays() ? relays_.TakeAnswer(answer, from) : from_leader;
-  if (!Expected(answer) || !believed || election_.leading()) {
-    NoteDropped("an answer that was not asked for, or not there", from);
+  const bool from_expected_sender =
+      relays_.UsesRelays() ? relays_.TakeAnswer(answer, from) : from_leader;
+  if (!MatchesOpenQuestion(answer) || !from_expected_sender || election_.leading()) {
+    LogDroppedDatagram("answer matches no open question, or its sender is not the daemon asked",
+                       from);
     return;
   }
   if (answer.leads) {
     if (from_leader) election_.NoteLeaderHeard(answer.daemons);
-    TakeSize(answer.daemons);
+    SetFleetSize(answer.daemons);
     relays_.HandleFleetSize(answer.daemons);
   }
   for (const std::string& peer : answer.peers) peers_.Note(peer, BootClock::now());
@@ -213,7 +220,7 @@
   relays_.SendDueQuestions();
 }
 
-void Gateway::NoteUnread(const UndecodableMessage& message) {
+void Gateway::RecordUnreadableMessage(const UndecodableMessage& message) {
   const std::string format = std::to_string(message.format);
   metrics_.messages_unread.Add({{"sender", message.from}, {"format", format}});
   log_.Write(LogRank::kRoutine, EventLine(LogEvent::kDatagramDropped)
@@ -222,12 +229,13 @@
                                     .Field(LogField::kFormat, message.format));
 }
 
-/// The part of the fleet's free repeats that this daemon may use on top of its share by requests.
-void Gateway::TakeSize(std::uint32_t daemons) {
+/// Sets the fleet size, and from it the free retries that this daemon may send in addition to those
+/// that its request volume allows.
+void Gateway::SetFleetSize(std::uint32_t daemons) {
   fleet_size_ = daemons;
-  const double sharing = std::max<double>(daemons, kSmallestFleet);
+  const double daemons_sharing = std::max<double>(daemons, kMinFleetSize);
   pipeline_.SetMinRetries(
-      std::max(kFreeRepeatsOfUnknownFleet, settings_.retry_minimum * kFreeRepeatsUsed / sharing));
+      std::max(kMinFreeRetries, settings_.retry_minimum * kFreeRetriesShare / daemons_sharing));
 }
 
 }  // namespace moorfold
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -164,7 +164,7 @@
 Awaitable<void> RequestPipeline::AwaitStoreRead(const GatewayRequest& request) {
   const SteadyTime began = BootClock::now();
   if (!view_.ShouldAwaitRead(began)) co_return;
-  ++metrics_.waits_for_read;
+  ++metrics_.waits_for_store_read;
   const auto longest = std::chrono::duration_cast<milliseconds>(
       std::min(view_.configuration_bound, view_.staleness_bound) * kReadWaitBoundShare);
   const SteadyTime until = began + longest;
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -55,7 +55,7 @@
 bool ServerEntries::IsEarlierLife(const ServerRecord& record, StoreRevision revision) {
   const ServerPtr known = view_.servers.Find(record.id);
   if (known == nullptr || !IsLaterIncarnation(known->record().life, record.life)) return false;
-  ++metrics_.earlier_lives;
+  ++metrics_.previous_run_entries_ignored;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kEarlierLife)
                                      .Field(LogField::kServer, record.id)
                                      .Field(LogField::kLife, record.life)
@@ -75,7 +75,7 @@
 bool ServerEntries::DeferIfRestored(const ServerRecord& record, StoreRevision revision) {
   if (view_.servers.Find(record.id) != nullptr || FindRemoved(record) == nullptr) return false;
   deferred_[record.id] = {record, revision, BootClock::now() + kRestoredEntryDelay};
-  ++metrics_.entries_doubted;
+  ++metrics_.restored_entries_deferred;
   ScheduleTimer();
   return true;
 }
@@ -89,7 +89,7 @@
                       !IsLaterIncarnation(record.life, known->record().life);
   if (!leaves && !left_before_removal) return;
   record.draining = true;
-  ++metrics_.leaving_kept;
+  ++metrics_.stale_ready_states_overridden;
   // Logged once: the entry may state "ready" with each heartbeat until the store is reachable
   // again.
   if (known != nullptr && known->standing().leaving && known->record().draining) return;
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -253,7 +253,7 @@
   follow::ReadEnded ended{listing.revision, EncodedSize(listing.entries), std::nullopt};
   ended.outdated =
       state_.reading == follow::ReadKind::kAnnouncedConfiguration && Version() < expected_version_;
-  if (ended.outdated) ++metrics_.outdated_reads;
+  if (ended.outdated) ++metrics_.stale_configuration_reads;
   ApplyEvent(ended);
 }
 
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -217,7 +217,7 @@
 TEST_CASE("Metrics are rendered in the Prometheus text format") {
   GatewayMetrics metrics;
   metrics.requests = 7;
-  metrics.time_to_head.Observe(15);
+  metrics.time_to_response_head.Observe(15);
   metrics.requests_ended.Add({{"route", "a"}, {"reason", "no_server"}});
   metrics.repeats_left.push_back({"s", 2.5});
   const std::string text = metrics.Render();
@@ -237,16 +237,16 @@
   std::string text;
   counter.Render("r", text);
   CHECK(text == "moorfold_r{route=\"a\\\"b\\\\c\\nd\"} 2\n");
-  for (std::size_t route = 0; route < 2 * LabelledCounter::kMostSeries; ++route)
+  for (std::size_t route = 0; route < 2 * LabelledCounter::kMaxSeries; ++route)
     counter.Add({{"route", std::to_string(route)}});
-  CHECK(counter.Total() == 2 + 2 * LabelledCounter::kMostSeries);
+  CHECK(counter.Total() == 2 + 2 * LabelledCounter::kMaxSeries);
   CHECK(counter.Count({{"route", "0"}}) == 1);
   CHECK(counter.Count({{"route", "100000"}}) == 0);
   std::string bounded;
   counter.Render("r", bounded);
   CHECK(bounded.find("others=\"true\"") != std::string::npos);
   CHECK(static_cast<std::size_t>(std::count(bounded.begin(), bounded.end(), '\n')) ==
-        LabelledCounter::kMostSeries + 1);
+        LabelledCounter::kMaxSeries + 1);
 }
 
 TEST_CASE("Calls to the store are counted by kind and outcome") {
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -44,7 +44,7 @@
   fixture.RestoreStoreFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
   CHECK(fixture.Usable("i-2"));
-  CHECK(fixture.metrics.leaving_kept > 0);
+  CHECK(fixture.metrics.stale_ready_states_overridden > 0);
   fixture.Put("servers/i-1", ViewFixture::Entry(2'000));  // The server has restarted.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }));
 }
@@ -56,7 +56,7 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.view.servers.Find("i-1") == nullptr; }));
   fixture.RestoreStoreFrom(copy);
   CHECK_FALSE(fixture.Usable("i-1"));
-  CHECK(fixture.metrics.entries_doubted == 1);
+  CHECK(fixture.metrics.restored_entries_deferred == 1);
   fixture.PutServer("i-1");  // A write proves that the server is running.
   CHECK(fixture.RunUntil([&] { return fixture.Usable("i-1"); }, milliseconds(1'000)));
 }
