--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -10,7 +10,7 @@
 #include "gateway/event_splitter.h"
 #include "http/header_rules.h"
 #include "http/http_status.h"
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 
 namespace moorfold {
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -26,7 +26,7 @@
 #include "quarantine/quarantine_record.h"
 #include "quarantine/quarantine_service.h"
 #include "server_limits/permit_service.h"
-#include "tenants/credit_census.h"
+#include "tenants/credit_sharing_planner.h"
 #include "tenants/quota_service.h"
 
 namespace moorfold {
@@ -116,7 +116,7 @@
   QuarantineRecord quarantine_record_;
   QuotaService quota_;
   PermitService permits_;
-  quota::CreditCensus census_;
+  quota::CreditSharingPlanner census_;
   KeptRecord<CreditSharing> sharing_record_;
   RelayService relays_;
   RequestPipeline pipeline_;
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -66,7 +66,7 @@
   Count(text, "quota_questions_answered", quota.answered);
   Count(text, "quota_questions_unanswered", quota.unanswered);
   Count(text, "quota_answers_dropped", quota.dropped);
-  Count(text, "requests_over_quota", quota.refused_over);
+  Count(text, "requests_over_quota", quota.refused_over_limit);
   Count(text, "requests_quota_unknown", quota.refused_unknown);
   Count(text, "permit_questions", permits.asked);
   Count(text, "permit_questions_answered", permits.answered);
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -83,7 +83,7 @@
   std::vector<RepeatsLeft> repeats_left;
   std::int64_t peak_memory_kb = 0;
   QuarantineFigures quarantine;
-  QuotaFigures quota;
+  QuotaCounters quota;
   PermitFigures permits;
   LabelledCounter tenant_requests;  ///< Of tenants: by tenant, outcome and reason.
   LabelledCounter tenant_units;     ///< Counted against limits, by tenant.
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -15,7 +15,7 @@
 #include "http/http_types.h"
 #include "http/upstream_connection.h"
 #include "quarantine/fingerprint.h"
-#include "tenants/credit_pool.h"
+#include "tenants/credit_balance.h"
 
 namespace moorfold {
 
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -20,17 +20,17 @@
 Refusal QuotaRefusal(const QuotaDecision& decision, double spread) {
   constexpr double kSpreadShare = 0.5;
   const double come_back_s =
-      std::chrono::duration<double>(decision.come_back).count() * (1 + kSpreadShare * spread);
+      std::chrono::duration<double>(decision.retry_after).count() * (1 + kSpreadShare * spread);
   switch (decision.standing) {
-    case QuotaStanding::kOverAlways:
+    case QuotaStatus::kOverCapacity:
       return {http_status::kTooManyRequests, EndReason::kOverQuota,
               "the limit never allows so many units at once; ask for less in one request", false,
               0};
-    case QuotaStanding::kUnknown:
+    case QuotaStatus::kUnknown:
       return {http_status::kUnavailable, EndReason::kQuotaUnknown,
               "no daemon could tell what the limit still allows; come back", false, come_back_s};
-    case QuotaStanding::kOver:
-    case QuotaStanding::kGranted:
+    case QuotaStatus::kOverLimit:
+    case QuotaStatus::kGranted:
       break;
   }
   return {http_status::kTooManyRequests, EndReason::kOverQuota,
--- a/src/gateway/request_admission.cc
+++ b/src/gateway/request_admission.cc
@@ -5,7 +5,7 @@
 
 #include "common/boot_clock.h"
 #include "http/http_status.h"
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 #include "tenants/token_usage.h"
 
 namespace moorfold {
@@ -51,7 +51,7 @@
   const TenantDirectory& tenants = request.table->tenants();
   request.keys_in_use = !tenants.empty();
   if (tenants.empty() || request.route->open) return std::nullopt;
-  const ShownKey shown = ReadShownKey(http.headers);
+  const PresentedKey shown = ParsePresentedKey(http.headers);
   if (shown.state == KeyState::kUnreadable)
     return Refusal{http_status::kUnauthorized, EndReason::kKeyUnreadable,
                    "send one header 'Authorization: Bearer KEY'", false, 0};
@@ -67,7 +67,7 @@
   request.key = shown.digest;
   request.priority = tenant->priority.value_or(request.route->priority);
   const std::optional<double> units =
-      UnitsOf(tenant->limit, http.headers, protocol_.headers().token_usage);
+      CountQuotaUnits(tenant->limit, http.headers, protocol_.headers().token_usage);
   if (!units)
     return Refusal{http_status::kBadRequest, EndReason::kTokensUnreadable,
                    "state the tokens once, as IN,OUT", false, 0};
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -266,10 +266,10 @@
                                                                       kTargetShareForCredit);
   const SteadyTime wait_until = std::min(request.end, request.arrival + wanted);
   // Within one tenant the routes' urgency counts: the tenant's own is the same for all.
-  const quota::CreditWish wish{request.tenant->name, request.units, request.route->priority,
-                               std::max(BootClock::duration{}, wait_until - BootClock::now())};
+  const quota::CreditDemand wish{request.tenant->name, request.units, request.route->priority,
+                                 std::max(BootClock::duration{}, wait_until - BootClock::now())};
   const QuotaDecision decision = co_await quota_.Acquire(wish);
-  if (decision.standing == QuotaStanding::kGranted) {
+  if (decision.standing == QuotaStatus::kGranted) {
     request.credit = decision.credit;
     co_return true;
   }
--- a/src/tenants/credit_pool.cc
+++ b/src/tenants/credit_balance.cc
@@ -1,4 +1,4 @@
-#include "tenants/credit_pool.h"
+#include "tenants/credit_balance.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace {
 
 /// Sums of many small parts may come out lower than their true sum.
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 
 }  // namespace
 
@@ -24,14 +24,14 @@
   return credits;
 }
 
-void CreditPool::Add(Credit credit) {
+void CreditBalance::Add(Credit credit) {
   if (credit.units <= 0) return;
   const auto younger = std::upper_bound(
       credits_.begin(), credits_.end(), credit.created_at,
       [](Time created_at, const Credit& other) { return created_at < other.created_at; });
   if (younger != credits_.begin()) {
     Credit& older = *std::prev(younger);
-    if (credit.created_at - older.created_at < kGrain) {
+    if (credit.created_at - older.created_at < kMergeInterval) {
       older.units += credit.units;
       return;
     }
@@ -39,24 +39,24 @@
   credits_.insert(younger, credit);
 }
 
-void CreditPool::DropBefore(Time since) {
+void CreditBalance::DropBefore(Time since) {
   while (!credits_.empty() && credits_.front().created_at < since) credits_.pop_front();
 }
 
-double CreditPool::Units() const {
+double CreditBalance::Units() const {
   double units = 0;
   for (const Credit& credit : credits_) units += credit.units;
   return units;
 }
 
-std::optional<Time> CreditPool::Take(double units) {
-  if (Units() + kRounding < units || credits_.empty()) return std::nullopt;
+std::optional<Time> CreditBalance::Take(double units) {
+  if (Units() + kRoundingTolerance < units || credits_.empty()) return std::nullopt;
   const Time oldest = credits_.front().created_at;
   TakeUpTo(units);
   return oldest;
 }
 
-std::vector<Credit> CreditPool::TakeUpTo(double units) {
+std::vector<Credit> CreditBalance::TakeUpTo(double units) {
   std::vector<Credit> taken;
   while (units > 0 && !credits_.empty()) {
     Credit& oldest = credits_.front();
@@ -64,7 +64,7 @@
     taken.push_back({oldest.created_at, part});
     units -= part;
     oldest.units -= part;
-    if (oldest.units <= kRounding) credits_.pop_front();
+    if (oldest.units <= kRoundingTolerance) credits_.pop_front();
   }
   return taken;
 }
--- a/src/tenants/credit_pool.h
+++ b/src/tenants/credit_balance.h
@@ -21,7 +21,7 @@
 std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t most);
 
 /// Credit at one daemon, oldest first. Pure; one thread.
-class CreditPool {
+class CreditBalance {
  public:
   void Add(Credit credit);
   /// Forgets what came into being before `since`.
@@ -36,7 +36,7 @@
 
  private:
   /// Parts that came into being so close to each other are kept as one, as old as the older.
-  static constexpr std::chrono::milliseconds kGrain{50};
+  static constexpr std::chrono::milliseconds kMergeInterval{50};
 
   std::deque<Credit> credits_;
 };
--- a/src/tenants/credit_ledger.h
+++ b/src/tenants/credit_ledger.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "tenants/credit_balance.h"
 #include "tenants/credit_messages.h"
-#include "tenants/credit_pool.h"
 #include "tenants/tenant.h"
 
 namespace moorfold::quota {
@@ -35,7 +35,7 @@
 };
 
 /// What one request wants of its tenant's limit.
-struct CreditWish {
+struct CreditDemand {
   std::string tenant;
   double units = 0;
   std::uint32_t urgency = 0;       ///< 0 comes first.
@@ -43,15 +43,15 @@
 };
 
 /// What a daemon's own credit allows.
-enum class Standing : std::uint8_t {
-  kUnlimited,  ///< The tenant has no limit.
-  kGranted,    ///< The units were taken.
-  kShort,      ///< There is not enough here.
-  kNever       ///< More than the tenant's limit ever gives at once.
+enum class TakeStatus : std::uint8_t {
+  kUnlimited,     ///< The tenant has no limit.
+  kGranted,       ///< The units were taken.
+  kInsufficient,  ///< There is not enough here.
+  kAboveCapacity  ///< More than the tenant's limit ever gives at once.
 };
 
-struct Verdict {
-  Standing standing = Standing::kShort;
+struct TakeResult {
+  TakeStatus standing = TakeStatus::kInsufficient;
   Time created_at{};  ///< Where granted: of the oldest units taken.
 };
 
@@ -90,7 +90,7 @@
   /// Takes what a request costs from the credit here. Where others wait for it, only who was
   /// granted it gets it.
   /// @param granted the question that a pool has granted; 0: none.
-  Verdict Take(const std::string& tenant, double units, std::int64_t granted, Time now);
+  TakeResult Take(const std::string& tenant, double units, std::int64_t granted, Time now);
   /// Gives back what a request did not use. Credit that has died meanwhile stays dead.
   void Refund(const std::string& tenant, Credit credit, Time now);
   /// @return the age at which a tenant's credit dies; 0 without a limit.
@@ -102,7 +102,7 @@
   std::optional<std::string> Pool(const std::string& tenant, Time now) const;
   /// @return a question for what a request costs. @pre some daemon pools the tenant's credit; where
   /// it is this one, the question goes to Answer all the same.
-  AddressedQuestion Ask(const CreditWish& wish, Time now);
+  AddressedQuestion Ask(const CreditDemand& wish, Time now);
   /// @return questions that are due: what is not needed here goes to the pools, and pools that have
   /// been silent are asked again.
   std::vector<AddressedQuestion> Tick(Time now);
@@ -132,17 +132,17 @@
     std::int64_t asked_at_us = 0;
     double units = 0;
     std::uint32_t rank = 0;  ///< The lowest is served first.
-    Time arrived{};
-    Time give_up{};
+    Time queued_at{};
+    Time deadline{};
   };
   struct Account {
     QuotaLimit limit;
-    BootClock::duration life{};
-    Time made_until{};               ///< Its share of the rate was made up to then.
+    BootClock::duration lifetime{};
+    Time accrued_until{};            ///< Its share of the rate was made up to then.
     double units_per_second = 0;     ///< Used here of late.
     double requests_per_second = 0;  ///< Here, of late.
     Time used_at{};
-    CreditPool pool;
+    CreditBalance pool;
     std::vector<Reserved> reserved;
     std::deque<Waiting> queue;  ///< By rank, then in the order in which they came.
 
@@ -163,15 +163,15 @@
     Time seen{};
   };
 
-  BootClock::duration LifeOf(const QuotaLimit& limit) const;
+  BootClock::duration LifetimeOf(const QuotaLimit& limit) const;
   /// Makes this daemon's share up to now, and lets old credit die.
-  void Make(Account& account, Time now);
+  void Accrue(Account& account, Time now);
   void NoteUse(Account& account, double units, Time now) const;
   bool Silent(const std::string& host, Time now) const;
   CreditQuestion Begin(const std::string& host, Time now);
   /// @return whether it is newer than all others of the sender: what it deposits is taken once.
   bool NoteSender(const std::string& from, std::int64_t asked_at_us, Time now);
-  BootClock::duration BetweenDeposits() const;
+  BootClock::duration DepositInterval() const;
   /// @return what an account has beyond what requests here will need soon.
   static std::vector<Credit> Surplus(Account& account, Time now);
   /// Grants what can be granted now, queues what would wait as long as it has to, denies the rest.
--- a/src/tenants/credit_messages.h
+++ b/src/tenants/credit_messages.h
@@ -49,13 +49,13 @@
 struct CreditQuestion {
   std::int64_t asked_at_us = 0;  ///< By the sender's clock; the answer brings it back.
   /// When the receiver sent its last answer, by its own clock; 0: none was heard.
-  std::int64_t heard_stamp_us = 0;
-  std::int64_t since_heard_us = 0;  ///< Between the arrival of that answer and this question.
+  std::int64_t last_answer_stamp_us = 0;
+  std::int64_t since_last_answer_us = 0;  ///< Between the arrival of that answer and this question.
   std::vector<CreditRequest> requests;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(asked_at_us, heard_stamp_us, since_heard_us, requests);
+    archive(asked_at_us, last_answer_stamp_us, since_last_answer_us, requests);
   }
 };
 
--- a/src/tenants/credit_census.h
+++ b/src/tenants/credit_sharing_planner.h
@@ -16,20 +16,21 @@
 /// what the last one counted.
 ///
 /// Pure; one thread.
-class CreditCensus {
+class CreditSharingPlanner {
  public:
   using Time = BootClock::time_point;
 
   /// @param self "IP:PORT" of this daemon.
   /// @param strength of its machine: share of a core.
-  CreditCensus(std::string self, double strength) : self_(std::move(self)), strength_(strength) {}
+  CreditSharingPlanner(std::string self, double strength)
+      : self_(std::move(self)), strength_(strength) {}
 
   /// A daemon has reported.
   void Note(const std::string& address, double strength, Time now);
   /// @param known what was told last, by this leader or the one before.
-  /// @param leading_since when this daemon began to lead.
+  /// @param leader_since when this daemon began to lead.
   /// @return what to tell now. No daemons: too little has been heard yet.
-  CreditSharing Count(const CreditSharing& known, Time leading_since, Time now);
+  CreditSharing Count(const CreditSharing& last_told, Time leader_since, Time now);
 
  private:
   struct Member {
@@ -37,7 +38,7 @@
     Time seen{};
   };
 
-  bool Alive(const std::string& address, Time leading_since, Time now) const;
+  bool IsReporting(const std::string& address, Time leader_since, Time now) const;
 
   std::string self_;
   double strength_;
--- a/src/tenants/shown_key.cc
+++ b/src/tenants/presented_key.cc
@@ -1,4 +1,4 @@
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 
 #include "http/header_rules.h"
 
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-ShownKey ReadShownKey(const HttpHeaders& headers) {
-  ShownKey shown;
+PresentedKey ParsePresentedKey(const HttpHeaders& headers) {
+  PresentedKey shown;
   for (const HttpHeader& header : headers) {
     if (!EqualHeaderNames(header.name, kAuthorizationHeader)) continue;
     if (shown.state != KeyState::kNone) return {KeyState::kUnreadable, {}};
--- a/src/tenants/shown_key.h
+++ b/src/tenants/presented_key.h
@@ -12,7 +12,7 @@
   kUnreadable  ///< Several keys, or something that is no key.
 };
 
-struct ShownKey {
+struct PresentedKey {
   KeyState state = KeyState::kNone;
   KeyDigest digest;  ///< Where `state` is kOne.
 };
@@ -22,6 +22,6 @@
 
 /// Reads "Authorization: Bearer KEY" (RFC 6750, 2.1; the scheme ignores case). A key in the query
 /// of a URL is not read: it would stand in logs on its way.
-ShownKey ReadShownKey(const HttpHeaders& headers);
+PresentedKey ParsePresentedKey(const HttpHeaders& headers);
 
 }  // namespace moorfold
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -15,22 +15,22 @@
 /// of them has spent its processor time.
 constexpr milliseconds kAnswerTimeout{120};
 /// The first question may be lost; after another the pool is taken for silent.
-constexpr int kMostQuestions = 3;
+constexpr int kMaxQuestions = 3;
 /// Between two looks for a pool while there is none.
-constexpr milliseconds kPoolPause{50};
+constexpr milliseconds kPoolRetryInterval{50};
 /// How long credit that was taken is held for the request while it finds its server, even when it
 /// dies meanwhile. Added to a credit's life where the sums of the promise are made.
-constexpr milliseconds kHeldFor{250};
+constexpr milliseconds kHeldCreditGrace{250};
 /// Least time to come back after: pools get what others have left some times a second.
-constexpr milliseconds kLeastWait{50};
+constexpr milliseconds kMinRetryAfter{50};
 /// While requests wait at this pool: how often what was made here meanwhile is given out. What
 /// other daemons give is given on when it comes.
-constexpr milliseconds kServeEvery{25};
+constexpr milliseconds kServeInterval{25};
 
 }  // namespace
 
 QuotaService::QuotaService(boost::asio::io_context& context, quota::Settings settings,
-                           std::string self, QuotaFigures& figures, Ports ports)
+                           std::string self, QuotaCounters& figures, Ports ports)
     : ledger_(settings, std::move(self)),
       figures_(figures),
       ports_(std::move(ports)),
@@ -49,7 +49,7 @@
     const auto now = BootClock::now();
     SendAnswers(ledger_.Serve(now));
     for (const quota::AddressedQuestion& due : ledger_.Tick(now)) SendQuestion(due);
-    const quota::Time serve_again = now + kServeEvery;
+    const quota::Time serve_again = now + kServeInterval;
     const quota::Time next = ledger_.NextTick();
     co_await work_.Wait(ledger_.Queued() ? std::min(next, serve_again) : next);
   }
@@ -85,22 +85,22 @@
 }
 
 bool QuotaService::Alive(const std::string& tenant, const quota::Credit& credit) const {
-  return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldFor;
+  return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldCreditGrace;
 }
 
-QuotaDecision QuotaService::Refuse(QuotaStanding standing, BootClock::duration come_back) {
-  ++(standing == QuotaStanding::kUnknown ? figures_.refused_unknown : figures_.refused_over);
-  return {standing, {}, std::chrono::ceil<milliseconds>(come_back)};
+QuotaDecision QuotaService::Refuse(QuotaStatus standing, BootClock::duration retry_after) {
+  ++(standing == QuotaStatus::kUnknown ? figures_.refused_unknown : figures_.refused_over_limit);
+  return {standing, {}, std::chrono::ceil<milliseconds>(retry_after)};
 }
 
-BootClock::duration QuotaService::KnownShortage(const quota::CreditWish& wish) const {
+BootClock::duration QuotaService::KnownShortage(const quota::CreditDemand& wish) const {
   const auto known = shortages_.find(wish.tenant);
   if (known == shortages_.end()) return {};
   if (wish.units < known->second.units || wish.urgency < known->second.urgency) return {};
   return std::max(BootClock::duration{}, known->second.until - BootClock::now());
 }
 
-Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditWish wish,
+Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditDemand wish,
                                                         quota::Time wait_until) {
   const auto now = BootClock::now();
   wish.patience = std::max(BootClock::duration{}, wait_until - now);
@@ -110,41 +110,41 @@
   ++figures_.asked;
   SendQuestion(asked);
   const quota::Time silent = now + kAnswerTimeout;
-  while (!open_[id].came && BootClock::now() < silent) co_await answered_.Wait(silent);
+  while (!open_[id].received && BootClock::now() < silent) co_await answered_.Wait(silent);
   while (open_[id].queued && !open_[id].granted && BootClock::now() < wait_until)
     co_await answered_.Wait(wait_until);
   const Answered answered = open_[id];
   open_.erase(id);
-  if (!answered.came) ++figures_.unanswered;
+  if (!answered.received) ++figures_.unanswered;
   co_return answered;
 }
 
-Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditWish& wish) {
+Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditDemand& wish) {
   const quota::Time wait_until = BootClock::now() + wish.patience;
   // Told at once, without a question, what the last refusal has shown.
   const BootClock::duration known = KnownShortage(wish);
   if (BootClock::now() + known > wait_until && known > BootClock::duration{})
-    co_return Refuse(QuotaStanding::kOver, known);
+    co_return Refuse(QuotaStatus::kOverLimit, known);
   int questions = 0;
   std::int64_t granted = 0;
   while (true) {
     const auto now = BootClock::now();
-    const quota::Verdict verdict = ledger_.Take(wish.tenant, wish.units, granted, now);
-    if (verdict.standing == quota::Standing::kNever)
-      co_return Refuse(QuotaStanding::kOverAlways, {});
-    if (verdict.standing != quota::Standing::kShort)
-      co_return QuotaDecision{QuotaStanding::kGranted, {verdict.created_at, wish.units}, {}};
-    if (questions++ < kMostQuestions && ledger_.Pool(wish.tenant, now)) {
+    const quota::TakeResult verdict = ledger_.Take(wish.tenant, wish.units, granted, now);
+    if (verdict.standing == quota::TakeStatus::kAboveCapacity)
+      co_return Refuse(QuotaStatus::kOverCapacity, {});
+    if (verdict.standing != quota::TakeStatus::kInsufficient)
+      co_return QuotaDecision{QuotaStatus::kGranted, {verdict.created_at, wish.units}, {}};
+    if (questions++ < kMaxQuestions && ledger_.Pool(wish.tenant, now)) {
       const Answered answered = co_await AskPool(wish, wait_until);
       granted = answered.granted ? answered.id : 0;
-      if (answered.granted || !answered.came) continue;
-      const auto come_back = std::max<BootClock::duration>(answered.available_in, kLeastWait);
-      shortages_[wish.tenant] = {wish.units, wish.urgency, BootClock::now() + come_back};
-      co_return Refuse(QuotaStanding::kOver, come_back);
+      if (answered.granted || !answered.received) continue;
+      const auto retry_after = std::max<BootClock::duration>(answered.available_in, kMinRetryAfter);
+      shortages_[wish.tenant] = {wish.units, wish.urgency, BootClock::now() + retry_after};
+      co_return Refuse(QuotaStatus::kOverLimit, retry_after);
     }
-    if (BootClock::now() + kPoolPause > wait_until)
-      co_return Refuse(QuotaStanding::kUnknown, milliseconds(kAnswerTimeout) * kMostQuestions);
-    co_await Sleep(kPoolPause);
+    if (BootClock::now() + kPoolRetryInterval > wait_until)
+      co_return Refuse(QuotaStatus::kUnknown, milliseconds(kAnswerTimeout) * kMaxQuestions);
+    co_await Sleep(kPoolRetryInterval);
     questions = 0;
   }
 }
@@ -163,7 +163,7 @@
   }
   const auto open = open_.find(answer.asked_at_us);
   if (open == open_.end()) return;
-  open->second.came = true;
+  open->second.received = true;
   for (const CreditGrant& grant : answer.grants) {
     open->second.queued = grant.queued;
     open->second.granted = !grant.parts.empty();
--- a/src/tenants/quota_service.h
+++ b/src/tenants/quota_service.h
@@ -13,27 +13,27 @@
 namespace moorfold {
 
 /// Counts of one daemon, for its figures.
-struct QuotaFigures {
-  std::uint64_t asked = 0;         ///< Questions to pools.
-  std::uint64_t answered = 0;      ///< Questions of other daemons, to this one as a pool.
-  std::uint64_t unanswered = 0;    ///< Questions that were given up.
-  std::uint64_t refused_over = 0;  ///< Requests over their tenant's limit.
+struct QuotaCounters {
+  std::uint64_t asked = 0;               ///< Questions to pools.
+  std::uint64_t answered = 0;            ///< Questions of other daemons, to this one as a pool.
+  std::uint64_t unanswered = 0;          ///< Questions that were given up.
+  std::uint64_t refused_over_limit = 0;  ///< Requests over their tenant's limit.
   std::uint64_t refused_unknown = 0;
   std::uint64_t dropped = 0;  ///< Answers to no question.
 };
 
 /// How a request stands against its tenant's limit.
-enum class QuotaStanding : std::uint8_t {
-  kGranted,     ///< It may be sent.
-  kOver,        ///< Its tenant has used what it may.
-  kOverAlways,  ///< Its tenant's limit never allows so much at once.
-  kUnknown      ///< No daemon that could tell has answered.
+enum class QuotaStatus : std::uint8_t {
+  kGranted,       ///< It may be sent.
+  kOverLimit,     ///< Its tenant has used what it may.
+  kOverCapacity,  ///< Its tenant's limit never allows so much at once.
+  kUnknown        ///< No daemon that could tell has answered.
 };
 
 struct QuotaDecision {
-  QuotaStanding standing = QuotaStanding::kGranted;
+  QuotaStatus standing = QuotaStatus::kGranted;
   quota::Credit credit;  ///< Where granted: what was taken, to be given back if it is not used.
-  std::chrono::milliseconds come_back{0};  ///< Where over the limit: when there should be enough.
+  std::chrono::milliseconds retry_after{0};  ///< Where over the limit: when there should be enough.
 };
 
 /// Keeps a daemon's credit ledger (see quota::CreditLedger) in touch with other daemons' ledgers,
@@ -48,7 +48,7 @@
 
   /// @param self "IP:PORT" at which other daemons reach this one.
   QuotaService(boost::asio::io_context& context, quota::Settings settings, std::string self,
-               QuotaFigures& figures, Ports ports);
+               QuotaCounters& figures, Ports ports);
 
   void Start();
   /// Takes over the limits of the configuration in force.
@@ -61,7 +61,7 @@
   /// Takes what a request costs. Where that is not here, a pool is asked, which takes about a
   /// millisecond.
   /// A request for which there should be credit within its patience waits for it.
-  Awaitable<QuotaDecision> Acquire(const quota::CreditWish& wish);
+  Awaitable<QuotaDecision> Acquire(const quota::CreditDemand& wish);
   /// Gives back what was not used, as far as it is still worth something.
   void Refund(const std::string& tenant, const quota::Credit& credit);
   /// @return whether credit that a request holds may still be used.
@@ -75,7 +75,7 @@
   /// Of a question under way: what its answers said so far.
   struct Answered {
     std::int64_t id = 0;  ///< Of the question: when it was asked.
-    bool came = false;
+    bool received = false;
     bool queued = false;
     bool granted = false;
     std::chrono::microseconds available_in{0};
@@ -89,16 +89,16 @@
 
   Awaitable<void> Run();
   /// Asks the pool for what a request costs, and waits for its turn.
-  Awaitable<Answered> AskPool(quota::CreditWish wish, quota::Time wait_until);
+  Awaitable<Answered> AskPool(quota::CreditDemand wish, quota::Time wait_until);
   /// To another daemon, or to this one.
   void SendQuestion(const quota::AddressedQuestion& asked);
   void SendAnswers(const std::vector<quota::AddressedAnswer>& answers);
-  QuotaDecision Refuse(QuotaStanding standing, BootClock::duration come_back);
+  QuotaDecision Refuse(QuotaStatus standing, BootClock::duration retry_after);
   /// @return until there should be enough, as far as an earlier refusal tells.
-  BootClock::duration KnownShortage(const quota::CreditWish& wish) const;
+  BootClock::duration KnownShortage(const quota::CreditDemand& wish) const;
 
   quota::CreditLedger ledger_;
-  QuotaFigures& figures_;
+  QuotaCounters& figures_;
   Ports ports_;
   AsyncSignal answered_;
   AsyncSignal work_;  ///< Limits came into force, or a request waits at this pool.
--- a/src/tenants/tenant.h
+++ b/src/tenants/tenant.h
@@ -17,7 +17,7 @@
   QuotaUnit unit = QuotaUnit::kRequests;
   double rate_per_second = 0;  ///< Units; 0: no limit.
   double burst = 0;            ///< Units beyond the rate, when it was not used before.
-  double plain_tokens = 0;     ///< What a request counts that states no tokens.
+  double default_tokens = 0;   ///< What a request counts that states no tokens.
 
   bool Limited() const { return rate_per_second > 0; }
   auto operator<=>(const QuotaLimit&) const = default;
--- a/src/tenants/tenant_directory.cc
+++ b/src/tenants/tenant_directory.cc
@@ -7,9 +7,11 @@
 namespace {
 
 /// Beyond any fleet: larger ones would make sums of many limits inexact.
-constexpr double kMostUnits = 1e15;
+constexpr double kMaxUnits = 1e15;
 
-bool Sensible(double number) { return std::isfinite(number) && number >= 0 && number < kMostUnits; }
+bool IsValidLimitValue(double number) {
+  return std::isfinite(number) && number >= 0 && number < kMaxUnits;
+}
 
 }  // namespace
 
@@ -20,7 +22,8 @@
 void TenantDirectory::Add(const Tenant& tenant) {
   if (tenant.name.empty()) throw TenantListError("a tenant has no name; give it one");
   const QuotaLimit& limit = tenant.limit;
-  if (!Sensible(limit.rate_per_second) || !Sensible(limit.burst) || !Sensible(limit.plain_tokens))
+  if (!IsValidLimitValue(limit.rate_per_second) || !IsValidLimitValue(limit.burst) ||
+      !IsValidLimitValue(limit.default_tokens))
     throw TenantListError("tenant " + tenant.name +
                           " has a limit that is negative or absurd; write 0 for no limit");
   if (!by_name_.try_emplace(tenant.name, &tenant).second)
--- a/src/tenants/token_usage.cc
+++ b/src/tenants/token_usage.cc
@@ -10,13 +10,13 @@
 namespace {
 
 /// More tokens than any model reads; sums of such numbers stay exact.
-constexpr std::size_t kMostDigits = 9;
+constexpr std::size_t kMaxDigits = 9;
 
 std::optional<double> ParseCount(std::string_view text) {
   std::uint64_t count = 0;
   const auto read = std::from_chars(text.data(), text.data() + text.size(), count);
   const bool whole = read.ec == std::errc() && read.ptr == text.data() + text.size();
-  if (!whole || text.size() > kMostDigits) return std::nullopt;
+  if (!whole || text.size() > kMaxDigits) return std::nullopt;
   return static_cast<double>(count);
 }
 
@@ -33,8 +33,8 @@
   return *tokens_in + *tokens_out;
 }
 
-std::optional<double> UnitsOf(const QuotaLimit& limit, const HttpHeaders& headers,
-                              std::string_view token_usage) {
+std::optional<double> CountQuotaUnits(const QuotaLimit& limit, const HttpHeaders& headers,
+                                      std::string_view token_usage) {
   if (limit.unit == QuotaUnit::kRequests) return 1;
   const HttpHeader* stated = nullptr;
   for (const HttpHeader& header : headers) {
@@ -42,7 +42,7 @@
     if (stated != nullptr) return std::nullopt;
     stated = &header;
   }
-  return stated == nullptr ? limit.plain_tokens : ParseTokenUsage(stated->value);
+  return stated == nullptr ? limit.default_tokens : ParseTokenUsage(stated->value);
 }
 
 }  // namespace moorfold
--- a/src/tenants/token_usage.h
+++ b/src/tenants/token_usage.h
@@ -15,7 +15,7 @@
 /// @param token_usage name of the header that states tokens.
 /// @return what a request counts against `limit`, in its unit; nothing where it states tokens that
 /// cannot be counted, or states them twice.
-std::optional<double> UnitsOf(const QuotaLimit& limit, const HttpHeaders& headers,
-                              std::string_view token_usage);
+std::optional<double> CountQuotaUnits(const QuotaLimit& limit, const HttpHeaders& headers,
+                                      std::string_view token_usage);
 
 }  // namespace moorfold
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -87,8 +87,8 @@
     cases.cases = {news};
     sharing = {7, {"10.0.0.1:7001", "10.0.0.2:7001"}};
     question.asked_at_us = 11;
-    question.heard_stamp_us = 22;
-    question.since_heard_us = 33;
+    question.last_answer_stamp_us = 22;
+    question.since_last_answer_us = 33;
     question.requests = {{"tenant-1", 5.5, 1, 1'000, {{2.5, 10}}}};
     granted.asked_at_us = 11;
     granted.stamp_us = 44;
--- a/test/tenants/credit_pool_test.cc
+++ b/test/tenants/credit_balance_test.cc
@@ -1,6 +1,6 @@
 // Credit with its ages at one daemon.
 
-#include "tenants/credit_pool.h"
+#include "tenants/credit_balance.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 const Time kNow{std::chrono::hours(1)};
 
 TEST_CASE("The oldest credit is taken first, and what dies is gone") {
-  CreditPool pool;
+  CreditBalance pool;
   pool.Add({kNow, 5});
   pool.Add({kNow - milliseconds(900), 3});
   CHECK(pool.Units() == 8);
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("Parts close to each other are kept as one, as old as the older") {
-  CreditPool pool;
+  CreditBalance pool;
   pool.Add({kNow, 1});
   pool.Add({kNow + milliseconds(49), 1});
   const std::vector<Credit> taken = pool.TakeUpTo(10);
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("Nothing and less than nothing are no credit") {
-  CreditPool pool;
+  CreditBalance pool;
   pool.Add({kNow, 0});
   pool.Add({kNow, -7});
   CHECK(pool.Units() == 0);
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -38,8 +38,8 @@
 CreditQuestion Deposit(double units, std::int64_t asked_at_us, Time heard, Time sent) {
   CreditQuestion question;
   question.asked_at_us = asked_at_us;
-  question.heard_stamp_us = Micros(heard.time_since_epoch());
-  question.since_heard_us = Micros(sent - heard);
+  question.last_answer_stamp_us = Micros(heard.time_since_epoch());
+  question.since_last_answer_us = Micros(sent - heard);
   question.requests.push_back({"t", 0, 0, 0, {{units, 0}}});
   return question;
 }
@@ -57,16 +57,16 @@
     "Tenants without a limit are granted all, unknown ones too, and nothing is kept of them") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("free", 0, 100)});
   CHECK_FALSE(ledger.Limits());
-  CHECK(ledger.Take("free", 1e9, 0, kNow).standing == Standing::kUnlimited);
-  CHECK(ledger.Take("other", 1, 0, kNow).standing == Standing::kUnlimited);
+  CHECK(ledger.Take("free", 1e9, 0, kNow).standing == TakeStatus::kUnlimited);
+  CHECK(ledger.Take("other", 1, 0, kNow).standing == TakeStatus::kUnlimited);
   CHECK(ledger.Tick(kNow + seconds(9)).empty());
 }
 
 TEST_CASE("More than a limit ever gives at once is told apart from what comes with time") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 10, 10)});
-  CHECK(ledger.Take("t", 13, 0, kNow).standing == Standing::kNever);
-  CHECK(ledger.Take("t", 12, 0, kNow).standing == Standing::kShort);
-  CHECK(ledger.Take("t", 0, 0, kNow).standing == Standing::kGranted);
+  CHECK(ledger.Take("t", 13, 0, kNow).standing == TakeStatus::kAboveCapacity);
+  CHECK(ledger.Take("t", 12, 0, kNow).standing == TakeStatus::kInsufficient);
+  CHECK(ledger.Take("t", 0, 0, kNow).standing == TakeStatus::kGranted);
 }
 
 TEST_CASE("While the size of the fleet is unknown, nothing is made, then or afterwards") {
@@ -120,7 +120,7 @@
 TEST_CASE("Deposits whose age cannot be told are not believed") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 100, 100)}, 1'000'000);
   CreditQuestion unheard = Deposit(5, 1, kNow, kNow);
-  unheard.heard_stamp_us = 0;
+  unheard.last_answer_stamp_us = 0;
   pool.Answer(unheard, "a", kNow);
   CHECK(pool.Units("t", kNow) < 0.01);
   // It names a stamp from the future: another life of this machine's clock.
@@ -199,8 +199,9 @@
   CHECK_FALSE(hasty.queued);
   CHECK(hasty.parts.empty());
   CHECK(hasty.available_in_us == Approx(660'000).epsilon(0.01));
-  CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);          // Next to nothing passes.
-  CHECK(fixture.pool.Take("t", 6, 0, now).standing == Standing::kShort);  // Not past the queue.
+  CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);  // Next to nothing passes.
+  CHECK(fixture.pool.Take("t", 6, 0, now).standing ==
+        TakeStatus::kInsufficient);  // Not past the queue.
   CHECK(fixture.pool.Serve(now + milliseconds(200)).empty());
   const auto served = fixture.pool.Serve(now + milliseconds(300));
   REQUIRE(served.size() == 1);
@@ -243,9 +244,9 @@
   const Time later = kNow + milliseconds(900);  // Of which it waited 890 ms at the pool.
   CHECK(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK_FALSE(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
-  CHECK(asker.Take("t", 1, 0, later).standing == Standing::kShort);
-  const Verdict verdict = asker.Take("t", 5, id, later);
-  CHECK(verdict.standing == Standing::kGranted);
+  CHECK(asker.Take("t", 1, 0, later).standing == TakeStatus::kInsufficient);
+  const TakeResult verdict = asker.Take("t", 5, id, later);
+  CHECK(verdict.standing == TakeStatus::kGranted);
   CHECK(verdict.created_at >= later - milliseconds(60));
 }
 
@@ -283,8 +284,8 @@
 TEST_CASE("What a request did not use comes back, unless it has died meanwhile") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   const Time later = kNow + seconds(1);
-  const Verdict verdict = ledger.Take("t", 100, 0, later);
-  REQUIRE(verdict.standing == Standing::kGranted);
+  const TakeResult verdict = ledger.Take("t", 100, 0, later);
+  REQUIRE(verdict.standing == TakeStatus::kGranted);
   ledger.Refund("t", {verdict.created_at, 100}, later + milliseconds(100));
   CHECK(ledger.Units("t", later + milliseconds(100)) == Approx(110));
   ledger.Refund("t", {verdict.created_at, 100}, later + seconds(1));
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -1,7 +1,7 @@
 // Limits of tenants over a fleet that loses, delays and repeats messages, freezes, cuts, kills and
 // grows. The shipped ledger runs at each daemon; the model carries messages and judges: in no
-// window may a tenant use more than what is promised. Planted faults show that the judge would see
-// it.
+// window may a tenant use more than what is promised. InjectedBug faults show that the judge would
+// see it.
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -21,7 +21,7 @@
 constexpr seconds kWarmUp{4};
 
 /// A rule of the ledger that is left out, to see the judge find it.
-enum class Planted { kNone, kTakenTwice, kKeptWhenSent, kCountBehind };
+enum class InjectedBug { kNone, kTakenTwice, kKeptWhenSent, kStaleDaemonCount };
 
 struct Faults {
   double lost = 0;
@@ -41,7 +41,7 @@
   double slack = 0;
   milliseconds patience{0};  ///< Of each request, with a pool that has not enough.
   Faults faults;
-  Planted planted = Planted::kNone;
+  InjectedBug injected_bug = InjectedBug::kNone;
 };
 
 class Model {
@@ -56,7 +56,8 @@
       sharing_.daemons = static_cast<std::uint32_t>(case_.daemons);
       if (number < case_.pools) sharing_.hosts.push_back(Name(number));
     }
-    if (case_.planted == Planted::kCountBehind) sharing_.daemons = std::max(1, case_.daemons / 2);
+    if (case_.injected_bug == InjectedBug::kStaleDaemonCount)
+      sharing_.daemons = std::max(1, case_.daemons / 2);
     for (int number = 0; number < case_.daemons; ++number) daemons_.push_back(Start(number));
   }
 
@@ -64,7 +65,9 @@
     const Time end = now_ + length;
     while (now_ < end) Step();
   }
-  double most_over() const { return most_over_; }  ///< Of what is promised; above 1 it is broken.
+  double max_use_ratio() const {
+    return max_use_ratio_;
+  }  ///< Of what is promised; above 1 it is broken.
   std::uint64_t questions() const { return questions_; }
   double granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
@@ -80,7 +83,7 @@
   };
   struct Waiting {
     int number = 0;
-    Time give_up{};
+    Time deadline{};
     std::int64_t asked_at_us = 0;
     bool granted = false;
   };
@@ -129,7 +132,7 @@
   void SendAnswers(int from, std::vector<AddressedAnswer> answers) {
     const Time own = Clock(from);
     for (AddressedAnswer& each : answers) {
-      if (case_.planted == Planted::kKeptWhenSent)
+      if (case_.injected_bug == InjectedBug::kKeptWhenSent)
         for (const CreditGrant& grant : each.answer.grants)
           for (const CreditPart& part : grant.parts)
             At(from).ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
@@ -155,7 +158,7 @@
       } else {
         const bool taken = daemon.ledger.TakeAnswer(*message.answer, Name(message.from), own);
         if (taken) NoteAnswer(message.to, *message.answer);
-        if (taken && case_.planted == Planted::kTakenTwice)
+        if (taken && case_.injected_bug == InjectedBug::kTakenTwice)
           for (const CreditGrant& grant : message.answer->grants)
             for (const CreditPart& part : grant.parts)
               daemon.ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
@@ -164,7 +167,7 @@
     }
   }
 
-  void Trouble() {
+  void InjectFault() {
     if (!case_.faults.stops || Chance() > 0.02) return;
     const int number = Pick(case_.daemons);
     switch (Pick(5)) {
@@ -197,7 +200,7 @@
     asked_ += case_.cost;
     Daemon& daemon = At(number);
     const Time own = Clock(number);
-    if (daemon.ledger.Take("t", case_.cost, 0, own).standing == Standing::kGranted) {
+    if (daemon.ledger.Take("t", case_.cost, 0, own).standing == TakeStatus::kGranted) {
       Grant();
       return;
     }
@@ -206,8 +209,8 @@
       return;
     }
     const AddressedQuestion asked = daemon.ledger.Ask({"t", case_.cost, 0, case_.patience}, own);
-    const Time give_up = now_ + std::max<BootClock::duration>(case_.patience, kAnswerTimeout);
-    waiting_.push_back({number, give_up, asked.question.asked_at_us, false});
+    const Time deadline = now_ + std::max<BootClock::duration>(case_.patience, kAnswerTimeout);
+    waiting_.push_back({number, deadline, asked.question.asked_at_us, false});
     ++questions_;
     Send(number, asked.host, asked.question, std::nullopt);
   }
@@ -218,7 +221,7 @@
       if (waiting.number != number || waiting.asked_at_us != answer.asked_at_us) continue;
       for (const CreditGrant& grant : answer.grants) {
         waiting.granted = !grant.parts.empty();
-        if (grant.parts.empty() && !grant.queued) waiting.give_up = now_;
+        if (grant.parts.empty() && !grant.queued) waiting.deadline = now_;
       }
     }
   }
@@ -234,12 +237,12 @@
     const double window_s = std::chrono::duration<double>(settings_.window).count();
     const double promised =
         (case_.rate * window_s + case_.burst) * (1 + settings_.overshoot) + settings_.slack;
-    most_over_ = std::max(most_over_, in_window_ / promised);
+    max_use_ratio_ = std::max(max_use_ratio_, in_window_ / promised);
   }
 
   void Step() {
     now_ += kStep;
-    Trouble();
+    InjectFault();
     Deliver();
     for (int number = 0; number < case_.daemons; ++number) {
       if (!Up(number)) continue;
@@ -248,15 +251,15 @@
         Send(number, due.host, std::move(due.question), std::nullopt);
     }
     std::erase_if(waiting_, [&](const Waiting& waiting) {
-      if (!Up(waiting.number)) return waiting.give_up <= now_;
-      const Verdict verdict =
+      if (!Up(waiting.number)) return waiting.deadline <= now_;
+      const TakeResult verdict =
           At(waiting.number)
               .ledger.Take("t", case_.cost, waiting.granted ? waiting.asked_at_us : 0,
                            Clock(waiting.number));
-      const bool served = verdict.standing == Standing::kGranted;
+      const bool served = verdict.standing == TakeStatus::kGranted;
       if (served) Grant();
-      if (!served && waiting.give_up <= now_) ++refused_;
-      return served || waiting.give_up <= now_;
+      if (!served && waiting.deadline <= now_) ++refused_;
+      return served || waiting.deadline <= now_;
     });
     const bool warm = now_ - start_ > kWarmUp;
     if (warm)
@@ -279,7 +282,7 @@
   std::uint64_t questions_ = 0;
   std::deque<std::pair<Time, double>> used_;
   double in_window_ = 0;
-  double most_over_ = 0;
+  double max_use_ratio_ = 0;
   double granted_ = 0;
   double asked_ = 0;
   double due_ = 0;
@@ -288,12 +291,12 @@
   Time now_ = start_;
 };
 
-double MostOver(const Case& wanted, std::uint32_t seeds, seconds length) {
+double MaxUseRatio(const Case& wanted, std::uint32_t seeds, seconds length) {
   double most = 0;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
     Model model(wanted, seed);
     model.Run(length);
-    most = std::max(most, model.most_over());
+    most = std::max(most, model.max_use_ratio());
   }
   return most;
 }
@@ -308,9 +311,9 @@
     flood.wanted = 8;
     flood.faults = kAllFaults;
     INFO(daemons << " daemons");
-    CHECK(MostOver(flood, 20, seconds(60)) <= 1);
+    CHECK(MaxUseRatio(flood, 20, seconds(60)) <= 1);
     flood.skew = 0.9;
-    CHECK(MostOver(flood, 10, seconds(60)) <= 1);
+    CHECK(MaxUseRatio(flood, 10, seconds(60)) <= 1);
   }
 }
 
@@ -324,7 +327,7 @@
   small.cost = 9'200;
   small.wanted = 6;
   small.faults = kAllFaults;
-  CHECK(MostOver(small, 6, seconds(60)) <= 1);
+  CHECK(MaxUseRatio(small, 6, seconds(60)) <= 1);
 }
 
 TEST_CASE("A flood gets what its limit allows, and not much less") {
@@ -353,7 +356,7 @@
     model.Run(seconds(60));
     INFO("patience " << patience.count() << " ms");
     CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
-    CHECK(model.most_over() <= 1);
+    CHECK(model.max_use_ratio() <= 1);
     CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);  // Each asks once.
   }
 }
@@ -402,12 +405,12 @@
   flood.burst = 1'000;
   flood.cost = 60;  // More than one daemon makes in a life: pools are needed.
   flood.wanted = 8;
-  CHECK(MostOver(flood, 4, seconds(60)) <= 1);
-  for (const Planted planted :
-       {Planted::kTakenTwice, Planted::kKeptWhenSent, Planted::kCountBehind}) {
-    flood.planted = planted;
-    INFO("planted " << static_cast<int>(planted));
-    CHECK(MostOver(flood, 4, seconds(60)) > 1);
+  CHECK(MaxUseRatio(flood, 4, seconds(60)) <= 1);
+  for (const InjectedBug injected_bug :
+       {InjectedBug::kTakenTwice, InjectedBug::kKeptWhenSent, InjectedBug::kStaleDaemonCount}) {
+    flood.injected_bug = injected_bug;
+    INFO("planted " << static_cast<int>(injected_bug));
+    CHECK(MaxUseRatio(flood, 4, seconds(60)) > 1);
   }
 }
 
--- a/test/tenants/credit_census_test.cc
+++ b/test/tenants/credit_sharing_planner_test.cc
@@ -1,6 +1,6 @@
 // How many daemons limits are shared among, and who pools.
 
-#include "tenants/credit_census.h"
+#include "tenants/credit_sharing_planner.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,20 +10,20 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
-using Time = CreditCensus::Time;
+using Time = CreditSharingPlanner::Time;
 
 const Time kStart{std::chrono::hours(1)};
 
 std::string Address(int number) { return "10.0.0." + std::to_string(number) + ":1"; }
 
 /// All of `count` daemons report at `now`.
-void ReportAll(CreditCensus& census, int count, Time now) {
+void ReportAll(CreditSharingPlanner& census, int count, Time now) {
   for (int number = 1; number <= count; ++number)
     census.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, now);
 }
 
 TEST_CASE("The first leader tells nothing before the fleet has had time to report") {
-  CreditCensus census(Address(0), 0.1);
+  CreditSharingPlanner census(Address(0), 0.1);
   ReportAll(census, 3, kStart);
   CHECK(census.Count({}, kStart, kStart + seconds(1)).daemons == 0);
   ReportAll(census, 83, kStart + seconds(2));
@@ -31,13 +31,13 @@
 }
 
 TEST_CASE("A new leader that has heard of three does not share limits among three") {
-  CreditCensus census(Address(0), 0.1);
+  CreditSharingPlanner census(Address(0), 0.1);
   ReportAll(census, 3, kStart);
   CHECK(census.Count({84, {}}, kStart, kStart + seconds(1)).daemons == 84);
 }
 
 TEST_CASE("More daemons count at once, fewer after minutes") {
-  CreditCensus census(Address(0), 0.1);
+  CreditSharingPlanner census(Address(0), 0.1);
   const Time later = kStart + minutes(20);
   ReportAll(census, 99, later);
   CHECK(census.Count({84, {}}, kStart, later).daemons == 100);
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("The strongest pool, and go on as long as they report") {
-  CreditCensus census(Address(0), 0.1);
+  CreditSharingPlanner census(Address(0), 0.1);
   const Time now = kStart + minutes(1);
   ReportAll(census, 83, now);
   const CreditSharing first = census.Count({}, kStart, now);
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("A new leader keeps the pools until they had time to find it") {
-  CreditCensus census(Address(0), 0.1);
+  CreditSharingPlanner census(Address(0), 0.1);
   const CreditSharing known{84, {Address(50), Address(60), Address(70)}};
   CHECK(census.Count(known, kStart, kStart + seconds(1)).hosts == known.hosts);
   CHECK(census.Count(known, kStart, kStart + seconds(4)).hosts ==
@@ -75,9 +75,9 @@
 }
 
 TEST_CASE("Pools grow with the fleet, within bounds; a fleet of one pools with itself") {
-  CreditCensus alone(Address(0), 0.1);
+  CreditSharingPlanner alone(Address(0), 0.1);
   CHECK(alone.Count({}, kStart, kStart + seconds(3)).hosts == std::vector<std::string>{Address(0)});
-  CreditCensus large(Address(0), 0.1);
+  CreditSharingPlanner large(Address(0), 0.1);
   for (int number = 1; number <= 409; ++number)
     large.Note("10.0.1." + std::to_string(number) + ":1", 0.2, kStart);
   CHECK(large.Count({}, kStart, kStart + milliseconds(2'600)).hosts.size() == 8);
--- a/test/tenants/shown_key_test.cc
+++ b/test/tenants/presented_key_test.cc
@@ -1,6 +1,6 @@
 // What is read as a caller's key, and what is not.
 
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 
 #include <catch2/catch.hpp>
 
@@ -29,7 +29,7 @@
       {{{"Authorization", "Bearer k"}, {"authorization", "Bearer k"}}, KeyState::kUnreadable}};
   for (const Case& each : cases) {
     INFO((each.headers.empty() ? "none" : each.headers.front().value));
-    const ShownKey shown = ReadShownKey(each.headers);
+    const PresentedKey shown = ParsePresentedKey(each.headers);
     CHECK(shown.state == each.state);
     if (each.state == KeyState::kOne) CHECK(shown.digest == DigestOfKey("k"));
   }
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -53,7 +53,7 @@
   Tenant absurd = MakeTenant("n", {});
   absurd.limit.burst = std::nan("");
   Tenant endless = MakeTenant("n", {});
-  endless.limit.plain_tokens = INFINITY;
+  endless.limit.default_tokens = INFINITY;
   const std::vector<Case> cases = {
       {{MakeTenant("a", {}), MakeTenant("a", {})}, "rename one"},
       {{MakeTenant("a", {"k"}), MakeTenant("b", {"k"})}, "give each its own"},
--- a/test/tenants/token_usage_test.cc
+++ b/test/tenants/token_usage_test.cc
@@ -40,11 +40,11 @@
 TEST_CASE("A request counts one, its stated tokens, or what plain requests count") {
   const QuotaLimit requests{QuotaUnit::kRequests, 10, 0, 0};
   const QuotaLimit tokens{QuotaUnit::kTokens, 10, 0, 200};
-  CHECK(UnitsOf(requests, {{kTokens, "no number"}}, kTokens) == 1.0);
-  CHECK(UnitsOf(tokens, {}, kTokens) == 200.0);
-  CHECK(UnitsOf(tokens, {{"x-tokens", "7,3"}}, kTokens) == 10.0);
-  CHECK(UnitsOf(tokens, {{kTokens, "seven"}}, kTokens) == std::nullopt);
-  CHECK(UnitsOf(tokens, {{kTokens, "7,3"}, {"x-tokens", "1,1"}}, kTokens) == std::nullopt);
+  CHECK(CountQuotaUnits(requests, {{kTokens, "no number"}}, kTokens) == 1.0);
+  CHECK(CountQuotaUnits(tokens, {}, kTokens) == 200.0);
+  CHECK(CountQuotaUnits(tokens, {{"x-tokens", "7,3"}}, kTokens) == 10.0);
+  CHECK(CountQuotaUnits(tokens, {{kTokens, "seven"}}, kTokens) == std::nullopt);
+  CHECK(CountQuotaUnits(tokens, {{kTokens, "7,3"}, {"x-tokens", "1,1"}}, kTokens) == std::nullopt);
 }
 
 }  // namespace
