--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -21,7 +21,7 @@
   constexpr double kSpreadShare = 0.5;
   const double come_back_s =
       std::chrono::duration<double>(decision.retry_after).count() * (1 + kSpreadShare * spread);
-  switch (decision.standing) {
+  switch (decision.quota_status) {
     case QuotaStatus::kOverCapacity:
       return {http_status::kTooManyRequests, EndReason::kOverQuota,
               "the limit never allows so many units at once; ask for less in one request", false,
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -269,7 +269,7 @@
   const quota::CreditDemand wish{request.tenant->name, request.units, request.route->priority,
                                  std::max(BootClock::duration{}, wait_until - BootClock::now())};
   const QuotaDecision decision = co_await quota_.Acquire(wish);
-  if (decision.standing == QuotaStatus::kGranted) {
+  if (decision.quota_status == QuotaStatus::kGranted) {
     request.credit = decision.credit;
     co_return true;
   }
--- a/src/tenants/credit_balance.cc
+++ b/src/tenants/credit_balance.cc
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t most) {
-  while (credits.size() > most) {
+std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t max_parts) {
+  while (credits.size() > max_parts) {
     std::size_t closest = 1;
     for (std::size_t at = 2; at < credits.size(); ++at)
       if (credits[at].created_at - credits[at - 1].created_at <
--- a/src/tenants/credit_balance.h
+++ b/src/tenants/credit_balance.h
@@ -18,7 +18,7 @@
 
 /// Merges neighbours until at most `most` are left. A merged part is as old as its oldest: credit
 /// never grows younger.
-std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t most);
+std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t max_parts);
 
 /// Credit at one daemon, oldest first. Pure; one thread.
 class CreditBalance {
--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -67,7 +67,7 @@
 
 std::uint64_t Mix(std::uint64_t hash, const std::string& text) {
   constexpr std::uint64_t kPrime = 1099511628211ULL;
-  for (const unsigned char sign : text) hash = (hash ^ sign) * kPrime;
+  for (const unsigned char byte : text) hash = (hash ^ byte) * kPrime;
   return hash;
 }
 
@@ -237,11 +237,11 @@
   return question;
 }
 
-AddressedQuestion CreditLedger::Ask(const CreditDemand& wish, Time now) {
-  const std::string host = Pool(wish.tenant, now).value();
+AddressedQuestion CreditLedger::Ask(const CreditDemand& demand, Time now) {
+  const std::string host = Pool(demand.tenant, now).value();
   AddressedQuestion asked{host, Begin(host, now)};
   asked.question.requests.push_back(
-      {wish.tenant, wish.units, wish.urgency, Microseconds(wish.patience), {}});
+      {demand.tenant, demand.units, demand.urgency, Microseconds(demand.patience), {}});
   return asked;
 }
 
--- a/src/tenants/credit_ledger.h
+++ b/src/tenants/credit_ledger.h
@@ -51,7 +51,7 @@
 };
 
 struct TakeResult {
-  TakeStatus standing = TakeStatus::kInsufficient;
+  TakeStatus quota_status = TakeStatus::kInsufficient;
   Time created_at{};  ///< Where granted: of the oldest units taken.
 };
 
@@ -102,7 +102,7 @@
   std::optional<std::string> Pool(const std::string& tenant, Time now) const;
   /// @return a question for what a request costs. @pre some daemon pools the tenant's credit; where
   /// it is this one, the question goes to Answer all the same.
-  AddressedQuestion Ask(const CreditDemand& wish, Time now);
+  AddressedQuestion Ask(const CreditDemand& demand, Time now);
   /// @return questions that are due: what is not needed here goes to the pools, and pools that have
   /// been silent are asked again.
   std::vector<AddressedQuestion> Tick(Time now);
--- a/src/tenants/presented_key.cc
+++ b/src/tenants/presented_key.cc
@@ -24,15 +24,15 @@
 }  // namespace
 
 PresentedKey ParsePresentedKey(const HttpHeaders& headers) {
-  PresentedKey shown;
+  PresentedKey presented;
   for (const HttpHeader& header : headers) {
     if (!EqualHeaderNames(header.name, kAuthorizationHeader)) continue;
-    if (shown.state != KeyState::kNone) return {KeyState::kUnreadable, {}};
+    if (presented.state != KeyState::kNone) return {KeyState::kUnreadable, {}};
     const std::string_view key = KeyIn(header.value);
     if (key.empty()) return {KeyState::kUnreadable, {}};
-    shown = {KeyState::kOne, DigestOfKey(key)};
+    presented = {KeyState::kOne, DigestOfKey(key)};
   }
-  return shown;
+  return presented;
 }
 
 }  // namespace moorfold
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -88,23 +88,24 @@
   return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldCreditGrace;
 }
 
-QuotaDecision QuotaService::Refuse(QuotaStatus standing, BootClock::duration retry_after) {
-  ++(standing == QuotaStatus::kUnknown ? figures_.refused_unknown : figures_.refused_over_limit);
-  return {standing, {}, std::chrono::ceil<milliseconds>(retry_after)};
+QuotaDecision QuotaService::Refuse(QuotaStatus quota_status, BootClock::duration retry_after) {
+  ++(quota_status == QuotaStatus::kUnknown ? figures_.refused_unknown
+                                           : figures_.refused_over_limit);
+  return {quota_status, {}, std::chrono::ceil<milliseconds>(retry_after)};
 }
 
-BootClock::duration QuotaService::KnownShortage(const quota::CreditDemand& wish) const {
-  const auto known = shortages_.find(wish.tenant);
+BootClock::duration QuotaService::KnownShortage(const quota::CreditDemand& demand) const {
+  const auto known = shortages_.find(demand.tenant);
   if (known == shortages_.end()) return {};
-  if (wish.units < known->second.units || wish.urgency < known->second.urgency) return {};
+  if (demand.units < known->second.units || demand.urgency < known->second.urgency) return {};
   return std::max(BootClock::duration{}, known->second.until - BootClock::now());
 }
 
-Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditDemand wish,
+Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditDemand demand,
                                                         quota::Time wait_until) {
   const auto now = BootClock::now();
-  wish.patience = std::max(BootClock::duration{}, wait_until - now);
-  const quota::AddressedQuestion asked = ledger_.Ask(wish, now);
+  demand.patience = std::max(BootClock::duration{}, wait_until - now);
+  const quota::AddressedQuestion asked = ledger_.Ask(demand, now);
   const std::int64_t id = asked.question.asked_at_us;
   open_[id].id = id;
   ++figures_.asked;
@@ -119,27 +120,27 @@
   co_return answered;
 }
 
-Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditDemand& wish) {
-  const quota::Time wait_until = BootClock::now() + wish.patience;
+Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditDemand& demand) {
+  const quota::Time wait_until = BootClock::now() + demand.patience;
   // Told at once, without a question, what the last refusal has shown.
-  const BootClock::duration known = KnownShortage(wish);
+  const BootClock::duration known = KnownShortage(demand);
   if (BootClock::now() + known > wait_until && known > BootClock::duration{})
     co_return Refuse(QuotaStatus::kOverLimit, known);
   int questions = 0;
   std::int64_t granted = 0;
   while (true) {
     const auto now = BootClock::now();
-    const quota::TakeResult verdict = ledger_.Take(wish.tenant, wish.units, granted, now);
-    if (verdict.standing == quota::TakeStatus::kAboveCapacity)
+    const quota::TakeResult verdict = ledger_.Take(demand.tenant, demand.units, granted, now);
+    if (verdict.quota_status == quota::TakeStatus::kAboveCapacity)
       co_return Refuse(QuotaStatus::kOverCapacity, {});
-    if (verdict.standing != quota::TakeStatus::kInsufficient)
-      co_return QuotaDecision{QuotaStatus::kGranted, {verdict.created_at, wish.units}, {}};
-    if (questions++ < kMaxQuestions && ledger_.Pool(wish.tenant, now)) {
-      const Answered answered = co_await AskPool(wish, wait_until);
+    if (verdict.quota_status != quota::TakeStatus::kInsufficient)
+      co_return QuotaDecision{QuotaStatus::kGranted, {verdict.created_at, demand.units}, {}};
+    if (questions++ < kMaxQuestions && ledger_.Pool(demand.tenant, now)) {
+      const Answered answered = co_await AskPool(demand, wait_until);
       granted = answered.granted ? answered.id : 0;
       if (answered.granted || !answered.received) continue;
       const auto retry_after = std::max<BootClock::duration>(answered.available_in, kMinRetryAfter);
-      shortages_[wish.tenant] = {wish.units, wish.urgency, BootClock::now() + retry_after};
+      shortages_[demand.tenant] = {demand.units, demand.urgency, BootClock::now() + retry_after};
       co_return Refuse(QuotaStatus::kOverLimit, retry_after);
     }
     if (BootClock::now() + kPoolRetryInterval > wait_until)
--- a/src/tenants/quota_service.h
+++ b/src/tenants/quota_service.h
@@ -31,7 +31,7 @@
 };
 
 struct QuotaDecision {
-  QuotaStatus standing = QuotaStatus::kGranted;
+  QuotaStatus quota_status = QuotaStatus::kGranted;
   quota::Credit credit;  ///< Where granted: what was taken, to be given back if it is not used.
   std::chrono::milliseconds retry_after{0};  ///< Where over the limit: when there should be enough.
 };
@@ -61,7 +61,7 @@
   /// Takes what a request costs. Where that is not here, a pool is asked, which takes about a
   /// millisecond.
   /// A request for which there should be credit within its patience waits for it.
-  Awaitable<QuotaDecision> Acquire(const quota::CreditDemand& wish);
+  Awaitable<QuotaDecision> Acquire(const quota::CreditDemand& demand);
   /// Gives back what was not used, as far as it is still worth something.
   void Refund(const std::string& tenant, const quota::Credit& credit);
   /// @return whether credit that a request holds may still be used.
@@ -89,13 +89,13 @@
 
   Awaitable<void> Run();
   /// Asks the pool for what a request costs, and waits for its turn.
-  Awaitable<Answered> AskPool(quota::CreditDemand wish, quota::Time wait_until);
+  Awaitable<Answered> AskPool(quota::CreditDemand demand, quota::Time wait_until);
   /// To another daemon, or to this one.
   void SendQuestion(const quota::AddressedQuestion& asked);
   void SendAnswers(const std::vector<quota::AddressedAnswer>& answers);
-  QuotaDecision Refuse(QuotaStatus standing, BootClock::duration retry_after);
+  QuotaDecision Refuse(QuotaStatus quota_status, BootClock::duration retry_after);
   /// @return until there should be enough, as far as an earlier refusal tells.
-  BootClock::duration KnownShortage(const quota::CreditDemand& wish) const;
+  BootClock::duration KnownShortage(const quota::CreditDemand& demand) const;
 
   quota::CreditLedger ledger_;
   QuotaCounters& figures_;
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -57,16 +57,16 @@
     "Tenants without a limit are granted all, unknown ones too, and nothing is kept of them") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("free", 0, 100)});
   CHECK_FALSE(ledger.Limits());
-  CHECK(ledger.Take("free", 1e9, 0, kNow).standing == TakeStatus::kUnlimited);
-  CHECK(ledger.Take("other", 1, 0, kNow).standing == TakeStatus::kUnlimited);
+  CHECK(ledger.Take("free", 1e9, 0, kNow).quota_status == TakeStatus::kUnlimited);
+  CHECK(ledger.Take("other", 1, 0, kNow).quota_status == TakeStatus::kUnlimited);
   CHECK(ledger.Tick(kNow + seconds(9)).empty());
 }
 
 TEST_CASE("More than a limit ever gives at once is told apart from what comes with time") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 10, 10)});
-  CHECK(ledger.Take("t", 13, 0, kNow).standing == TakeStatus::kAboveCapacity);
-  CHECK(ledger.Take("t", 12, 0, kNow).standing == TakeStatus::kInsufficient);
-  CHECK(ledger.Take("t", 0, 0, kNow).standing == TakeStatus::kGranted);
+  CHECK(ledger.Take("t", 13, 0, kNow).quota_status == TakeStatus::kAboveCapacity);
+  CHECK(ledger.Take("t", 12, 0, kNow).quota_status == TakeStatus::kInsufficient);
+  CHECK(ledger.Take("t", 0, 0, kNow).quota_status == TakeStatus::kGranted);
 }
 
 TEST_CASE("While the size of the fleet is unknown, nothing is made, then or afterwards") {
@@ -200,7 +200,7 @@
   CHECK(hasty.parts.empty());
   CHECK(hasty.available_in_us == Approx(660'000).epsilon(0.01));
   CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);  // Next to nothing passes.
-  CHECK(fixture.pool.Take("t", 6, 0, now).standing ==
+  CHECK(fixture.pool.Take("t", 6, 0, now).quota_status ==
         TakeStatus::kInsufficient);  // Not past the queue.
   CHECK(fixture.pool.Serve(now + milliseconds(200)).empty());
   const auto served = fixture.pool.Serve(now + milliseconds(300));
@@ -244,9 +244,9 @@
   const Time later = kNow + milliseconds(900);  // Of which it waited 890 ms at the pool.
   CHECK(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK_FALSE(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
-  CHECK(asker.Take("t", 1, 0, later).standing == TakeStatus::kInsufficient);
+  CHECK(asker.Take("t", 1, 0, later).quota_status == TakeStatus::kInsufficient);
   const TakeResult verdict = asker.Take("t", 5, id, later);
-  CHECK(verdict.standing == TakeStatus::kGranted);
+  CHECK(verdict.quota_status == TakeStatus::kGranted);
   CHECK(verdict.created_at >= later - milliseconds(60));
 }
 
@@ -285,7 +285,7 @@
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   const Time later = kNow + seconds(1);
   const TakeResult verdict = ledger.Take("t", 100, 0, later);
-  REQUIRE(verdict.standing == TakeStatus::kGranted);
+  REQUIRE(verdict.quota_status == TakeStatus::kGranted);
   ledger.Refund("t", {verdict.created_at, 100}, later + milliseconds(100));
   CHECK(ledger.Units("t", later + milliseconds(100)) == Approx(110));
   ledger.Refund("t", {verdict.created_at, 100}, later + seconds(1));
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -200,7 +200,7 @@
     asked_ += case_.cost;
     Daemon& daemon = At(number);
     const Time own = Clock(number);
-    if (daemon.ledger.Take("t", case_.cost, 0, own).standing == TakeStatus::kGranted) {
+    if (daemon.ledger.Take("t", case_.cost, 0, own).quota_status == TakeStatus::kGranted) {
       Grant();
       return;
     }
@@ -256,7 +256,7 @@
           At(waiting.number)
               .ledger.Take("t", case_.cost, waiting.granted ? waiting.asked_at_us : 0,
                            Clock(waiting.number));
-      const bool served = verdict.standing == TakeStatus::kGranted;
+      const bool served = verdict.quota_status == TakeStatus::kGranted;
       if (served) Grant();
       if (!served && waiting.deadline <= now_) ++refused_;
       return served || waiting.deadline <= now_;
--- a/test/tenants/presented_key_test.cc
+++ b/test/tenants/presented_key_test.cc
@@ -29,9 +29,9 @@
       {{{"Authorization", "Bearer k"}, {"authorization", "Bearer k"}}, KeyState::kUnreadable}};
   for (const Case& each : cases) {
     INFO((each.headers.empty() ? "none" : each.headers.front().value));
-    const PresentedKey shown = ParsePresentedKey(each.headers);
-    CHECK(shown.state == each.state);
-    if (each.state == KeyState::kOne) CHECK(shown.digest == DigestOfKey("k"));
+    const PresentedKey presented = ParsePresentedKey(each.headers);
+    CHECK(presented.state == each.state);
+    if (each.state == KeyState::kOne) CHECK(presented.digest == DigestOfKey("k"));
   }
 }
 
