--- a/src/tenants/credit_balance.cc
+++ b/src/tenants/credit_balance.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Sums of many small parts may come out lower than their true sum.
+/// Tolerance for rounding: the floating-point sum of many small parts may be too low.
 constexpr double kRoundingTolerance = 1e-6;
 
 }  // namespace
--- a/src/tenants/credit_balance.h
+++ b/src/tenants/credit_balance.h
@@ -10,32 +10,32 @@
 
 using Time = BootClock::time_point;
 
-/// Units that a tenant may use, and when they came into being.
+/// Units that a tenant may use, with their creation time.
 struct Credit {
   Time created_at{};
   double units = 0;
 };
 
-/// Merges neighbours until at most `most` are left. A merged part is as old as its oldest: credit
-/// never grows younger.
+/// Merges adjacent parts until at most `max_parts` are left. A merged part takes the older creation
+/// time, so that merging never extends the lifetime of credit.
 std::vector<Credit> Merge(std::vector<Credit> credits, std::size_t max_parts);
 
-/// Credit at one daemon, oldest first. Pure; one thread.
+/// A tenant's credit at one daemon, oldest first. No I/O. Not thread-safe.
 class CreditBalance {
  public:
   void Add(Credit credit);
-  /// Forgets what came into being before `since`.
+  /// Drops credit created before `since`.
   void DropBefore(Time since);
-  /// @return units held.
+  /// @return Sum of the units held.
   double Units() const;
-  /// Takes `units`, the oldest first. @return when the oldest of them came into being; nothing
-  /// where there are fewer, which takes none.
+  /// Takes `units`, the oldest first. @return The creation time of the oldest unit taken; nothing,
+  /// and no units are taken, if there are fewer.
   std::optional<Time> Take(double units);
   /// Takes up to `units`, the oldest first.
   std::vector<Credit> TakeUpTo(double units);
 
  private:
-  /// Parts that came into being so close to each other are kept as one, as old as the older.
+  /// Parts created within this time of each other are merged, with the older creation time.
   static constexpr std::chrono::milliseconds kMergeInterval{50};
 
   std::deque<Credit> credits_;
--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -10,47 +10,50 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Of what the promise allows beyond rate and burst: the depth that credit gets of it. It makes up
-/// for credit that dies on its way to a pool. The rest covers daemons whose count of the fleet is
-/// behind, and requests that hold their credit for a moment.
+/// Share of the overshoot allowance that is used for the depth of the credit. It makes up for
+/// credit that expires on its way to a pool. The rest covers daemons whose count of the fleet is
+/// out of date, and requests that hold their credit for a moment.
 constexpr double kOvershootShareForDepth = 0.3;
-/// What is not needed goes to the pools so often: a quarter of a life, so that most of it arrives
-/// young; not more often than a weak machine may be woken for it, nor so seldom that a small tenant
-/// with a long life waits for the pool.
+/// Surplus credit is deposited at the pools four times in a credit lifetime, so that most of it
+/// arrives with most of its lifetime left. The interval has a minimum, to limit wake-ups on a weak
+/// machine, and a maximum, so that a small tenant with a long credit lifetime does not wait for the
+/// pool.
 constexpr int kDepositsPerLifetime = 4;
 constexpr milliseconds kMaxDepositInterval{500};
 constexpr milliseconds kMinDepositInterval{60};
-/// Its share of the rate is made in parts of that length, so that not all of it is as old as the
-/// oldest.
+/// A daemon's share of the rate accrues in parts of this length, so that not all of it takes the
+/// age of the oldest.
 constexpr milliseconds kAccrualInterval{125};
-/// Parts of one tenant in a message: half a second in parts of an eighth.
+/// Maximum parts per tenant in a message: half a second in parts of 125 ms.
 constexpr std::size_t kMaxPartsPerTenant = 4;
-/// A pool that leaves a question open for so long is passed over: answers take milliseconds, and a
-/// tenth of a second more where a machine's processor time is spent.
+/// A pool that leaves a question unanswered for this long is skipped. Answers take milliseconds,
+/// and a tenth of a second more on a machine whose processor time is exhausted.
 constexpr milliseconds kPoolTimeout{250};
-/// Credit that has less of its life left is not granted: it would die on its way, and the request
-/// for which it was the last part would be refused (28% of a small tenant's requests below its
+/// Credit with less of its lifetime left is not granted: it would expire in transit, and the
+/// request that it was to complete would be refused (28% of a small tenant's requests below its
 /// limit, in credit_model_test).
 constexpr milliseconds kMinLifetimeLeftToGrant{100};
-/// How long what was granted to a request is kept for it. It takes it at once, unless it is gone.
+/// How long granted credit is reserved for its request. The request takes it at once, unless it has
+/// been cancelled.
 constexpr milliseconds kReservationTime{50};
-/// Requests that wait at one pool for one tenant's credit.
+/// Maximum requests queued at one pool for one tenant's credit.
 constexpr std::size_t kMaxQueueLength = 4'096;
-/// Sums of many small parts may come out lower than their true sum.
+/// Tolerance for rounding: the floating-point sum of many small parts may be too low.
 constexpr double kRoundingTolerance = 1e-6;
-/// Of a limit's depth: a request that counts no more comes before all others. Large limits
-/// take a chat for small, small ones only a plain call.
+/// A request that costs at most this share of the limit's depth is queued before all others. Under
+/// a large limit a chat request counts as small, under a small limit only a plain call does.
 constexpr double kSmallRequestShare = 0.005;
-/// Questions to one pool whose answers are still taken.
+/// Maximum open questions per pool; answers to older ones are dropped.
 constexpr std::size_t kMaxOpenQuestions = 1'024;
-/// A daemon that has not asked for so long may come back with a clock that began anew.
+/// A sender is forgotten after this time without a question: it may have restarted with a clock
+/// that starts again from zero.
 constexpr milliseconds kSenderExpiry{10'000};
-/// A silent pool is asked again after that.
+/// Interval at which a silent pool is asked again.
 constexpr milliseconds kSilentPoolRetryInterval{1'000};
-/// Of use here: the time constant of its average.
+/// Time constant of the moving average of a tenant's use at this daemon.
 constexpr double kUseTimeConstantS = 2;
-/// Credit is kept for what requests here will need until the next deposit, where that is several
-/// requests. A daemon with few requests of a tenant would keep credit that is never enough.
+/// Credit for this many seconds of use is kept back from deposits if it covers several requests. A
+/// daemon with few requests of a tenant would otherwise keep credit that never suffices for one.
 constexpr double kReserveForS = 0.5;
 
 std::int64_t Microseconds(BootClock::duration duration) {
@@ -71,8 +74,8 @@
   return hash;
 }
 
-/// The same at every daemon. The host with the most for a tenant pools its credit (rendezvous
-/// hashing): when one goes, only its tenants move.
+/// Returns the same weight at every daemon. The host with the highest weight for a tenant pools its
+/// credit (rendezvous hashing): when a host fails, only its tenants move.
 std::uint64_t Weight(const std::string& tenant, const std::string& host) {
   constexpr std::uint64_t kBasis = 14695981039346656037ULL;
   constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15ULL;
@@ -88,7 +91,7 @@
   return parts;
 }
 
-/// @param transit the longest that the parts can have been on their way.
+/// @param transit The longest time that the parts can have been in transit.
 void Unpack(const std::vector<CreditPart>& parts, BootClock::duration transit, Time now,
             CreditBalance& pool) {
   for (const CreditPart& part : parts) {
@@ -122,7 +125,7 @@
     account.limit = tenant.limit;
     account.lifetime = LifetimeOf(tenant.limit);
     if (before > tenant.limit.rate_per_second) {
-      // What the old limit made goes on as if the new one had made it.
+      // Scales accrued credit to what the new limit would have accrued.
       const double share = tenant.limit.rate_per_second / before;
       for (const Credit& credit : account.pool.TakeUpTo(account.pool.Units()))
         account.pool.Add({credit.created_at, credit.units * share});
@@ -227,7 +230,7 @@
   if (known.unanswered_since == Time{}) known.unanswered_since = now;
   known.asked_at = now;
   CreditQuestion question;
-  // Questions are told apart by it.
+  // The time of asking is also the question's unique id.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
   question.asked_at_us = last_asked_us_;
   known.open.insert(last_asked_us_);
@@ -269,7 +272,7 @@
     Accrue(account, now);
     auto question = questions.find(*host);
     if (question == questions.end()) question = questions.emplace(*host, Begin(*host, now)).first;
-    // Without a stamp the pool could not tell how old the credit is.
+    // Without a stamp the pool could not determine the age of the credit.
     if (question->second.last_answer_stamp_us == 0) continue;
     std::vector<CreditPart> parts = Pack(Surplus(account, now), now);
     if (!parts.empty()) question->second.requests.push_back({tenant, 0, 0, 0, std::move(parts)});
@@ -293,12 +296,12 @@
   return true;
 }
 
-/// Requests that have to wait get what is made next, the most urgent first and then in the order in
-/// which they came, and are told when it is there. Were each to try again for itself, a flood would
-/// ask many times a second for each of its requests, and what is made would die in parts too small
-/// for any (0.07 to 0.29 of the limit was delivered, in
-/// credit_model_test, where the queue delivers all of it). Whoever would not wait as long is told
-/// so at once. A request that counts next to nothing of the limit comes first.
+/// Requests that have to wait are queued by urgency, then by arrival, and are answered when enough
+/// credit has accrued. If each retried by itself, a flood would send many questions a second per
+/// request, and credit would expire in parts too small for any request (0.07 to 0.29 of the limit
+/// was delivered, in credit_model_test; with the queue all of it is). A request whose patience is
+/// shorter than the wait is refused at once. A request that costs a negligible share of the limit
+/// goes first.
 CreditGrant CreditLedger::GrantOrQueue(const CreditRequest& request, const CreditQuestion& question,
                                        const std::string& from, Account& account, Time now) {
   CreditGrant grant;
@@ -371,8 +374,8 @@
   CreditAnswer answer;
   answer.asked_at_us = question.asked_at_us;
   answer.stamp_us = Microseconds(now.time_since_epoch());
-  // No longer than from the arrival of this daemon's last answer there, which lies after its
-  // sending, to now.
+  // Upper bound: the time from the arrival of this daemon's last answer at the sender, which is
+  // later than its sending, to now.
   const microseconds transit{answer.stamp_us - question.last_answer_stamp_us -
                              question.since_last_answer_us};
   const bool fresh = NoteSender(from, question.asked_at_us, now);
@@ -380,7 +383,8 @@
   std::vector<AddressedAnswer> served;
   for (const CreditRequest& request : question.requests) {
     const auto found = accounts_.find(request.tenant);
-    if (found == accounts_.end()) continue;  // One of the two does not know the newest limits.
+    if (found == accounts_.end())
+      continue;  // One of the two daemons does not have the newest limits.
     Account& account = found->second;
     if (aged) Unpack(request.deposit, transit, now, account.pool);
     Accrue(account, now);
@@ -402,7 +406,7 @@
   known->second.heard_at = now;
   known->second.unanswered_since = Time{};
   const Time asked_at{microseconds(answer.asked_at_us)};
-  // All of the time that it was not at the pool.
+  // The whole round trip, without the time that the question was held at the pool.
   const auto transit = now - asked_at - microseconds(std::max<std::int64_t>(0, answer.held_us));
   for (const CreditGrant& grant : answer.grants) {
     const auto found = accounts_.find(grant.tenant);
--- a/src/tenants/credit_sharing_planner.cc
+++ b/src/tenants/credit_sharing_planner.cc
@@ -10,16 +10,17 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-/// A daemon that is silent for longer is counted no more. One that lives behind a cut goes on
-/// making its share: a cut that lasts longer lets tenants go over their limits by what is behind
-/// it.
+/// A daemon that has not reported for longer is no longer counted. A partitioned daemon keeps
+/// accruing its share, so a partition that lasts longer lets tenants exceed their limits by the
+/// share of the daemons behind it.
 constexpr minutes kMemberExpiry{5};
-/// Daemons report twice a second, and to a new leader once they have seen its key.
+/// Delay before a first leader publishes a count: daemons report twice a second, and to a new
+/// leader once they have read its key from the store.
 constexpr milliseconds kFirstCountDelay{2'500};
-/// A pool that has not reported for so long is replaced by another.
+/// A pool that has not reported for this long is replaced by another daemon.
 constexpr milliseconds kPoolReportTimeout{3'000};
-/// One pool serves some hundred questions a second with a hundredth of a core: for each 32 daemons
-/// one. At least three, so that two may go, and at most eight, so that lists stay short.
+/// One pool for each 32 daemons: a pool answers some hundred questions a second at a hundredth of a
+/// core. There are at least 3 pools, so that two may fail, and at most 8, to keep the lists short.
 constexpr std::size_t kDaemonsPerPool = 32;
 constexpr std::size_t kMinPools = 3;
 constexpr std::size_t kMaxPools = 8;
@@ -35,7 +36,8 @@
   if (address == self_) return true;
   const auto member = members_.find(address);
   if (member != members_.end()) return now - member->second.seen < kPoolReportTimeout;
-  return now - leader_since < kPoolReportTimeout;  // It may not have found its new leader yet.
+  return now - leader_since <
+         kPoolReportTimeout;  // The daemon may not have found the new leader yet.
 }
 
 CreditSharing CreditSharingPlanner::Count(const CreditSharing& last_told, Time leader_since,
--- a/src/tenants/credit_sharing_planner.h
+++ b/src/tenants/credit_sharing_planner.h
@@ -8,28 +8,29 @@
 
 namespace moorfold::quota {
 
-/// Counts the fleet for the sharing of limits, at the daemon that leads.
+/// Plans, at the leader, how limits are shared: counts the daemons and selects those that pool
+/// credit.
 ///
-/// Too many daemons counted make limits a little lower, too few let tenants go over them. So a
-/// daemon is counted from its first report and until it has been silent for minutes, as one that is
-/// cut off goes on making its share; and a new leader, which has heard of few yet, goes on from
-/// what the last one counted.
+/// Counting too many daemons lowers the limits a little; counting too few lets tenants exceed them.
+/// A daemon is therefore counted from its first report until it has been silent for minutes, since
+/// a partitioned daemon keeps accruing its share. A new leader, which has received few reports,
+/// starts from its predecessor's count.
 ///
-/// Pure; one thread.
+/// No I/O. Not thread-safe.
 class CreditSharingPlanner {
  public:
   using Time = BootClock::time_point;
 
   /// @param self "IP:PORT" of this daemon.
-  /// @param strength of its machine: share of a core.
+  /// @param strength Processor capacity of this machine, as a share of a core.
   CreditSharingPlanner(std::string self, double strength)
       : self_(std::move(self)), strength_(strength) {}
 
-  /// A daemon has reported.
+  /// Records a report from another daemon; a report from this daemon is ignored.
   void Note(const std::string& address, double strength, Time now);
-  /// @param known what was told last, by this leader or the one before.
-  /// @param leader_since when this daemon began to lead.
-  /// @return what to tell now. No daemons: too little has been heard yet.
+  /// @param known The sharing published last, by this leader or its predecessor.
+  /// @param leader_since When this daemon became leader.
+  /// @return The sharing to publish now. Its `daemons` is 0 while too few reports have arrived.
   CreditSharing Count(const CreditSharing& last_told, Time leader_since, Time now);
 
  private:
@@ -42,7 +43,7 @@
 
   std::string self_;
   double strength_;
-  std::map<std::string, Member> members_;  ///< By address; without this daemon.
+  std::map<std::string, Member> members_;  ///< By address, excluding this daemon.
 };
 
 }  // namespace moorfold::quota
--- a/src/tenants/key_digest.h
+++ b/src/tenants/key_digest.h
@@ -9,11 +9,11 @@
 
 namespace moorfold {
 
-/// Tells one client's key from another without holding it.
+/// Identifies a client's key without storing the key.
 ///
-/// Keyed with random bytes of this process (BLAKE2b): a digest that leaks, as by a core dump, can
-/// neither be used as a key nor be looked up in a list of digests of likely keys, and no two
-/// processes give the same digest of one key.
+/// A BLAKE2b hash keyed with random bytes of this process. A digest that leaks, for example in a
+/// core dump, cannot be used as a key or looked up in a table of digests of likely keys, and two
+/// processes compute different digests of one key.
 struct KeyDigest {
   static constexpr std::size_t kBytes = 16;
 
@@ -22,10 +22,10 @@
   auto operator<=>(const KeyDigest&) const = default;
 };
 
-/// @return the digest that this process gives of `key`. Any thread.
+/// @return This process's digest of `key`. Thread-safe.
 KeyDigest DigestOfKey(std::string_view key);
 
-/// For hash tables: the bytes are a digest already.
+/// Hash for unordered containers; takes leading digest bytes, which are uniformly distributed.
 struct KeyDigestHash {
   std::size_t operator()(const KeyDigest& digest) const {
     std::size_t hash = 0;
--- a/src/tenants/presented_key.cc
+++ b/src/tenants/presented_key.cc
@@ -9,7 +9,8 @@
 constexpr std::string_view kScheme = "Bearer";
 constexpr std::string_view kBlanks = " \t";
 
-/// @return the key, or an empty text where there is none or more than one word.
+/// @return The key, or an empty string if there is none or if more than one word follows the
+/// scheme.
 std::string_view KeyIn(std::string_view credentials) {
   const std::size_t scheme_end = credentials.find_first_of(kBlanks);
   if (scheme_end == std::string_view::npos) return {};
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -11,20 +11,21 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Between two daemons an answer takes some milliseconds, and up to a tenth of a second where one
-/// of them has spent its processor time.
+/// Timeout for an answer. It takes some milliseconds between two daemons, and up to a tenth of a
+/// second if one of them has exhausted its processor time.
 constexpr milliseconds kAnswerTimeout{120};
-/// The first question may be lost; after another the pool is taken for silent.
+/// Maximum questions per request before it pauses. The first question may be lost; after a second
+/// one without an answer the pool counts as silent.
 constexpr int kMaxQuestions = 3;
-/// Between two looks for a pool while there is none.
+/// Interval at which a request looks for a pool while none is available.
 constexpr milliseconds kPoolRetryInterval{50};
-/// How long credit that was taken is held for the request while it finds its server, even when it
-/// dies meanwhile. Added to a credit's life where the sums of the promise are made.
+/// How long taken credit stays valid for a request that is selecting a server, even if it expires
+/// in the meantime. The bound on use adds this time to the credit lifetime.
 constexpr milliseconds kHeldCreditGrace{250};
-/// Least time to come back after: pools get what others have left some times a second.
+/// Minimum retry delay: pools receive surplus credit some times a second.
 constexpr milliseconds kMinRetryAfter{50};
-/// While requests wait at this pool: how often what was made here meanwhile is given out. What
-/// other daemons give is given on when it comes.
+/// While requests are queued at this pool: the interval at which newly accrued credit is granted.
+/// Deposits from other daemons are granted on arrival.
 constexpr milliseconds kServeInterval{25};
 
 }  // namespace
@@ -122,7 +123,8 @@
 
 Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditDemand& demand) {
   const quota::Time wait_until = BootClock::now() + demand.patience;
-  // Told at once, without a question, what the last refusal has shown.
+  // Refuses at once, without asking the pool, if the last refusal shows that the credit will not be
+  // available in time.
   const BootClock::duration known = KnownShortage(demand);
   if (BootClock::now() + known > wait_until && known > BootClock::duration{})
     co_return Refuse(QuotaStatus::kOverLimit, known);
--- a/src/tenants/quota_service.h
+++ b/src/tenants/quota_service.h
@@ -12,35 +12,36 @@
 
 namespace moorfold {
 
-/// Counts of one daemon, for its figures.
+/// Counters of one daemon, for its metrics.
 struct QuotaCounters {
-  std::uint64_t asked = 0;               ///< Questions to pools.
-  std::uint64_t answered = 0;            ///< Questions of other daemons, to this one as a pool.
-  std::uint64_t unanswered = 0;          ///< Questions that were given up.
-  std::uint64_t refused_over_limit = 0;  ///< Requests over their tenant's limit.
+  std::uint64_t asked = 0;               ///< Questions sent to pools.
+  std::uint64_t answered = 0;            ///< Questions that this daemon received as a pool.
+  std::uint64_t unanswered = 0;          ///< Questions that timed out.
+  std::uint64_t refused_over_limit = 0;  ///< Requests refused over their tenant's limit.
   std::uint64_t refused_unknown = 0;
-  std::uint64_t dropped = 0;  ///< Answers to no question.
+  std::uint64_t dropped = 0;  ///< Answers that match no open question.
 };
 
-/// How a request stands against its tenant's limit.
+/// Result of checking a request against its tenant's limit.
 enum class QuotaStatus : std::uint8_t {
-  kGranted,       ///< It may be sent.
-  kOverLimit,     ///< Its tenant has used what it may.
-  kOverCapacity,  ///< Its tenant's limit never allows so much at once.
-  kUnknown        ///< No daemon that could tell has answered.
+  kGranted,       ///< The request may be sent.
+  kOverLimit,     ///< The tenant has used up its limit.
+  kOverCapacity,  ///< The tenant's limit never allows this much at once.
+  kUnknown        ///< No pool has answered.
 };
 
 struct QuotaDecision {
   QuotaStatus quota_status = QuotaStatus::kGranted;
-  quota::Credit credit;  ///< Where granted: what was taken, to be given back if it is not used.
-  std::chrono::milliseconds retry_after{0};  ///< Where over the limit: when there should be enough.
+  quota::Credit credit;  ///< If granted: the credit taken, to be refunded if it is not used.
+  std::chrono::milliseconds retry_after{
+      0};  ///< If refused: delay after which the request may be retried.
 };
 
-/// Keeps a daemon's credit ledger (see quota::CreditLedger) in touch with other daemons' ledgers,
-/// and lets requests wait for credit for a moment. One thread.
+/// Exchanges messages between a daemon's credit ledger (see quota::CreditLedger) and the ledgers of
+/// other daemons, and lets requests wait for credit up to their patience. Not thread-safe.
 class QuotaService {
  public:
-  /// How it reaches other daemons.
+  /// Functions that send messages to other daemons.
   struct Ports {
     std::function<void(const std::string& to, const CreditQuestion& question)> ask;
     std::function<void(const std::string& to, const CreditAnswer& answer)> answer;
@@ -51,58 +52,58 @@
                QuotaCounters& figures, Ports ports);
 
   void Start();
-  /// Takes over the limits of the configuration in force.
+  /// Applies the limits of the configuration in force.
   void SetLimits(const std::vector<Tenant>& tenants);
   void SetSharing(CreditSharing sharing);
-  /// Whether the configuration in force limits anybody.
+  /// Whether the configuration in force limits any tenant.
   bool Limits() const { return ledger_.Limits(); }
   const CreditSharing& sharing() const { return ledger_.sharing(); }
 
-  /// Takes what a request costs. Where that is not here, a pool is asked, which takes about a
-  /// millisecond.
-  /// A request for which there should be credit within its patience waits for it.
+  /// Takes the cost of a request. If this daemon lacks credit, it asks a pool, which takes about a
+  /// millisecond. A request waits if enough credit is expected within its patience.
   Awaitable<QuotaDecision> Acquire(const quota::CreditDemand& demand);
-  /// Gives back what was not used, as far as it is still worth something.
+  /// Returns unused credit; expired credit is dropped.
   void Refund(const std::string& tenant, const quota::Credit& credit);
-  /// @return whether credit that a request holds may still be used.
+  /// @return Whether the credit that a request holds is still valid.
   bool Alive(const std::string& tenant, const quota::Credit& credit) const;
 
-  /// From other daemons. @param from "IP:PORT" of the sender.
+  /// Handle messages from other daemons. @param from "IP:PORT" of the sender.
   void Hear(const CreditQuestion& question, const std::string& from);
   void Hear(const CreditAnswer& answer, const std::string& from);
 
  private:
-  /// Of a question under way: what its answers said so far.
+  /// State of an open question, from the answers received so far.
   struct Answered {
-    std::int64_t id = 0;  ///< Of the question: when it was asked.
+    std::int64_t id = 0;  ///< Id of the question: its time of asking.
     bool received = false;
     bool queued = false;
     bool granted = false;
     std::chrono::microseconds available_in{0};
   };
-  /// Of a tenant that had too little credit just now.
+  /// A tenant's last refusal for lack of credit.
   struct Shortage {
-    double units = 0;           ///< So much was not to be had ..
-    std::uint32_t urgency = 0;  ///< .. for requests as urgent ..
-    quota::Time until{};        ///< .. until about then.
+    double units = 0;           ///< Units that were refused.
+    std::uint32_t urgency = 0;  ///< Urgency of the refused request.
+    quota::Time until{};        ///< Time at which the units should be available.
   };
 
   Awaitable<void> Run();
-  /// Asks the pool for what a request costs, and waits for its turn.
+  /// Asks the pool for the cost of a request, and waits while the request is queued there.
   Awaitable<Answered> AskPool(quota::CreditDemand demand, quota::Time wait_until);
-  /// To another daemon, or to this one.
+  /// Sends a question to another daemon, or handles it here if this daemon is the pool.
   void SendQuestion(const quota::AddressedQuestion& asked);
   void SendAnswers(const std::vector<quota::AddressedAnswer>& answers);
   QuotaDecision Refuse(QuotaStatus quota_status, BootClock::duration retry_after);
-  /// @return until there should be enough, as far as an earlier refusal tells.
+  /// @return Remaining time until enough credit should be available, as known from the last
+  /// refusal.
   BootClock::duration KnownShortage(const quota::CreditDemand& demand) const;
 
   quota::CreditLedger ledger_;
   QuotaCounters& figures_;
   Ports ports_;
   AsyncSignal answered_;
-  AsyncSignal work_;  ///< Limits came into force, or a request waits at this pool.
-  std::map<std::int64_t, Answered> open_;  ///< By when it was asked.
+  AsyncSignal work_;  ///< Set when limits come into force or a request is queued at this pool.
+  std::map<std::int64_t, Answered> open_;  ///< By time of asking.
   std::map<std::string, Shortage> shortages_;
   boost::asio::io_context& context_;
 };
--- a/src/tenants/tenant_directory.cc
+++ b/src/tenants/tenant_directory.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Beyond any fleet: larger ones would make sums of many limits inexact.
+/// More than any fleet serves. Larger values would make sums of many limits inexact.
 constexpr double kMaxUnits = 1e15;
 
 bool IsValidLimitValue(double number) {
--- a/src/tenants/tenant_directory.h
+++ b/src/tenants/tenant_directory.h
@@ -9,27 +9,28 @@
 
 namespace moorfold {
 
-/// A list of tenants that contradicts itself. The message names the tenant and the remedy.
+/// Thrown for an invalid list of tenants. The message names the tenant and the remedy.
 class TenantListError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Whose key is whose in one configuration. Immutable; any thread. The tenants outlive it.
+/// Maps keys to tenants for one configuration. Immutable and thread-safe. The tenants must outlive
+/// the directory.
 ///
-/// A look-up takes one digest and one access to a hash table, whatever the number of keys: 0.67
-/// microseconds among 10,000 keys, with an admission under a limit (`make bench`, KeyAndCredit).
+/// A lookup costs one digest and one hash table access, whatever the number of keys: 0.67
+/// microseconds among 10,000 keys, including admission under a limit (`make bench`, KeyAndCredit).
 class TenantDirectory {
  public:
-  /// @throws TenantListError where two tenants share a name or a key, a tenant has no name, or a
-  /// limit is no number that a limit can be.
+  /// @throws TenantListError if two tenants share a name or a key, a tenant has no name, or a limit
+  /// is negative, not finite or too large.
   explicit TenantDirectory(const std::vector<Tenant>& tenants);
 
-  /// Whether callers have to show keys at all.
+  /// Whether there are no tenants, in which case callers need no key.
   bool empty() const { return by_name_.empty(); }
-  /// @return the tenant whose key it is, or null.
+  /// @return The tenant that owns the key, or null.
   const Tenant* Find(const KeyDigest& key) const;
-  /// @return the tenant of that name, or null.
+  /// @return The tenant with this name, or null.
   const Tenant* FindByName(const std::string& name) const;
 
  private:
--- a/src/tenants/token_usage.cc
+++ b/src/tenants/token_usage.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// More tokens than any model reads; sums of such numbers stay exact.
+/// Nine digits exceed the context of any model, and sums of such numbers stay exact.
 constexpr std::size_t kMaxDigits = 9;
 
 std::optional<double> ParseCount(std::string_view text) {
