--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -156,14 +156,14 @@
   account.pool.DropBefore(now - account.lifetime);
 }
 
-void CreditLedger::NoteUse(Account& account, double units, Time now) const {
+void CreditLedger::RecordUse(Account& account, double units, Time now) const {
   const double share = std::exp(-Seconds(now - account.used_at) / kUseTimeConstantS);
   account.units_per_second = account.units_per_second * share + units / kUseTimeConstantS;
   account.requests_per_second = account.requests_per_second * share + 1 / kUseTimeConstantS;
   account.used_at = now;
 }
 
-double CreditLedger::Account::Free(Time now) {
+double CreditLedger::Account::AvailableUnits(Time now) {
   std::erase_if(reserved, [&](const Reserved& each) { return each.until < now; });
   double free = pool.Units();
   for (const Reserved& each : reserved) free -= each.units;
@@ -182,11 +182,11 @@
       account.reserved,
       [&](const Reserved& reserved) { return granted != 0 && reserved.asked_at_us == granted; });
   const bool own_turn = reserved_for_it > 0 || account.queue.empty();
-  if (units > 0 && (!own_turn || account.Free(now) + kRoundingTolerance < units))
+  if (units > 0 && (!own_turn || account.AvailableUnits(now) + kRoundingTolerance < units))
     return {TakeStatus::kInsufficient, now};
   const std::optional<Time> created_at = account.pool.Take(units);
   if (!created_at && units > 0) return {TakeStatus::kInsufficient, now};
-  NoteUse(account, units, now);
+  RecordUse(account, units, now);
   return {TakeStatus::kGranted, created_at.value_or(now)};
 }
 
@@ -209,23 +209,23 @@
   return found->second.pool.Units();
 }
 
-bool CreditLedger::Silent(const std::string& host, Time now) const {
+bool CreditLedger::IsUnresponsive(const std::string& host, Time now) const {
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || found->second.unanswered_since == Time{}) return false;
   return now - found->second.unanswered_since > kPoolTimeout;
 }
 
-std::optional<std::string> CreditLedger::Pool(const std::string& tenant, Time now) const {
+std::optional<std::string> CreditLedger::PoolFor(const std::string& tenant, Time now) const {
   const std::string* best = nullptr;
   for (const std::string& host : sharing_.hosts) {
-    if (host != self_ && Silent(host, now)) continue;
+    if (host != self_ && IsUnresponsive(host, now)) continue;
     if (best == nullptr || Weight(tenant, host) > Weight(tenant, *best)) best = &host;
   }
   if (best == nullptr) return std::nullopt;
   return *best;
 }
 
-CreditQuestion CreditLedger::Begin(const std::string& host, Time now) {
+CreditQuestion CreditLedger::NewQuestion(const std::string& host, Time now) {
   Host& known = hosts_[host];
   if (known.unanswered_since == Time{}) known.unanswered_since = now;
   known.asked_at = now;
@@ -241,8 +241,8 @@
 }
 
 AddressedQuestion CreditLedger::Ask(const CreditDemand& demand, Time now) {
-  const std::string host = Pool(demand.tenant, now).value();
-  AddressedQuestion asked{host, Begin(host, now)};
+  const std::string host = PoolFor(demand.tenant, now).value();
+  AddressedQuestion asked{host, NewQuestion(host, now)};
   asked.question.requests.push_back(
       {demand.tenant, demand.units, demand.urgency, Microseconds(demand.patience), {}});
   return asked;
@@ -252,7 +252,7 @@
   constexpr double kSeveral = 3;
   const bool several = account.requests_per_second * kReserveForS >= kSeveral;
   const double keep = several ? account.units_per_second * kReserveForS : 0;
-  return account.pool.TakeUpTo(account.Free(now) - keep);
+  return account.pool.TakeUpTo(account.AvailableUnits(now) - keep);
 }
 
 BootClock::duration CreditLedger::DepositInterval() const {
@@ -267,20 +267,21 @@
   if (now < deposit_due_) return {};
   deposit_due_ = now + DepositInterval();
   for (auto& [tenant, account] : accounts_) {
-    const std::optional<std::string> host = Pool(tenant, now);
+    const std::optional<std::string> host = PoolFor(tenant, now);
     if (!host || *host == self_) continue;
     Accrue(account, now);
     auto question = questions.find(*host);
-    if (question == questions.end()) question = questions.emplace(*host, Begin(*host, now)).first;
+    if (question == questions.end())
+      question = questions.emplace(*host, NewQuestion(*host, now)).first;
     // Without a stamp the pool could not determine the age of the credit.
     if (question->second.last_answer_stamp_us == 0) continue;
     std::vector<CreditPart> parts = Pack(Surplus(account, now), now);
     if (!parts.empty()) question->second.requests.push_back({tenant, 0, 0, 0, std::move(parts)});
   }
   for (const std::string& host : sharing_.hosts)
-    if (host != self_ && Limits() && Silent(host, now) &&
+    if (host != self_ && Limits() && IsUnresponsive(host, now) &&
         now - hosts_[host].asked_at > kSilentPoolRetryInterval)
-      questions.try_emplace(host, Begin(host, now));
+      questions.try_emplace(host, NewQuestion(host, now));
   std::vector<AddressedQuestion> addressed;
   for (auto& [host, question] : questions) addressed.push_back({host, std::move(question)});
   return addressed;
@@ -291,7 +292,7 @@
   const BootClock::duration least_left = std::min<BootClock::duration>(
       kMinLifetimeLeftToGrant, account.lifetime / kDepositsPerLifetime);
   account.pool.DropBefore(now - account.lifetime + least_left);
-  if (account.Free(now) < units) return false;
+  if (account.AvailableUnits(now) < units) return false;
   parts = Pack(account.pool.TakeUpTo(units), now);
   return true;
 }
@@ -314,7 +315,7 @@
       [](std::uint32_t ranked, const Waiting& waiting) { return ranked < waiting.rank; });
   const bool first = behind == account.queue.begin();
   if (first && TryGrant(request.needed, account, now, grant.parts)) return grant;
-  double shortfall = request.needed - account.Free(now);
+  double shortfall = request.needed - account.AvailableUnits(now);
   for (auto ahead = account.queue.begin(); ahead != behind; ++ahead) shortfall += ahead->units;
   const BootClock::duration wait = FromSeconds(std::max(0.0, shortfall) / rate);
   const BootClock::duration patience = microseconds(request.patience_us);
@@ -359,7 +360,7 @@
                      [](const auto& account) { return !account.second.queue.empty(); });
 }
 
-bool CreditLedger::NoteSender(const std::string& from, std::int64_t asked_at_us, Time now) {
+bool CreditLedger::RecordSender(const std::string& from, std::int64_t asked_at_us, Time now) {
   std::erase_if(senders_,
                 [&](const auto& sender) { return now - sender.second.seen > kSenderExpiry; });
   Sender& sender = senders_[from];
@@ -378,7 +379,7 @@
   // later than its sending, to now.
   const microseconds transit{answer.stamp_us - question.last_answer_stamp_us -
                              question.since_last_answer_us};
-  const bool fresh = NoteSender(from, question.asked_at_us, now);
+  const bool fresh = RecordSender(from, question.asked_at_us, now);
   const bool aged = fresh && question.last_answer_stamp_us != 0 && transit.count() >= 0;
   std::vector<AddressedAnswer> served;
   for (const CreditRequest& request : question.requests) {
--- a/src/tenants/credit_ledger.h
+++ b/src/tenants/credit_ledger.h
@@ -100,7 +100,7 @@
   double Units(const std::string& tenant, Time now);
   /// @return The daemon that pools a tenant's credit according to this daemon, possibly itself;
   /// nothing if no pool answers.
-  std::optional<std::string> Pool(const std::string& tenant, Time now) const;
+  std::optional<std::string> PoolFor(const std::string& tenant, Time now) const;
   /// @return A question for the cost of a request. @pre A daemon pools the tenant's credit; if it
   /// is this one, the question is still passed to Answer.
   AddressedQuestion Ask(const CreditDemand& demand, Time now);
@@ -149,7 +149,7 @@
     std::deque<Waiting> queue;  ///< By rank, then by arrival.
 
     /// @return Units that are neither reserved nor expired.
-    double Free(Time now);
+    double AvailableUnits(Time now);
   };
   /// State of a pool, as seen by this daemon.
   struct Host {
@@ -168,12 +168,12 @@
   BootClock::duration LifetimeOf(const QuotaLimit& limit) const;
   /// Accrues this daemon's share up to now and drops expired credit.
   void Accrue(Account& account, Time now);
-  void NoteUse(Account& account, double units, Time now) const;
-  bool Silent(const std::string& host, Time now) const;
-  CreditQuestion Begin(const std::string& host, Time now);
+  void RecordUse(Account& account, double units, Time now) const;
+  bool IsUnresponsive(const std::string& host, Time now) const;
+  CreditQuestion NewQuestion(const std::string& host, Time now);
   /// @return Whether the question is newer than all others of the sender, so that each deposit is
   /// added once.
-  bool NoteSender(const std::string& from, std::int64_t asked_at_us, Time now);
+  bool RecordSender(const std::string& from, std::int64_t asked_at_us, Time now);
   BootClock::duration DepositInterval() const;
   /// @return Credit beyond what requests at this daemon will need soon.
   static std::vector<Credit> Surplus(Account& account, Time now);
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -31,9 +31,9 @@
 }  // namespace
 
 QuotaService::QuotaService(boost::asio::io_context& context, quota::Settings settings,
-                           std::string self, QuotaCounters& figures, Ports ports)
+                           std::string self, QuotaCounters& counters, Ports ports)
     : ledger_(settings, std::move(self)),
-      figures_(figures),
+      counters_(counters),
       ports_(std::move(ports)),
       answered_(context.get_executor()),
       work_(context.get_executor()),
@@ -90,8 +90,8 @@
 }
 
 QuotaDecision QuotaService::Refuse(QuotaStatus quota_status, BootClock::duration retry_after) {
-  ++(quota_status == QuotaStatus::kUnknown ? figures_.refused_unknown
-                                           : figures_.refused_over_limit);
+  ++(quota_status == QuotaStatus::kUnknown ? counters_.refused_unknown
+                                           : counters_.refused_over_limit);
   return {quota_status, {}, std::chrono::ceil<milliseconds>(retry_after)};
 }
 
@@ -102,22 +102,22 @@
   return std::max(BootClock::duration{}, known->second.until - BootClock::now());
 }
 
-Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditDemand demand,
-                                                        quota::Time wait_until) {
+Awaitable<QuotaService::QuestionState> QuotaService::AskPool(quota::CreditDemand demand,
+                                                             quota::Time wait_until) {
   const auto now = BootClock::now();
   demand.patience = std::max(BootClock::duration{}, wait_until - now);
   const quota::AddressedQuestion asked = ledger_.Ask(demand, now);
   const std::int64_t id = asked.question.asked_at_us;
   open_[id].id = id;
-  ++figures_.asked;
+  ++counters_.asked;
   SendQuestion(asked);
   const quota::Time silent = now + kAnswerTimeout;
   while (!open_[id].received && BootClock::now() < silent) co_await answered_.Wait(silent);
   while (open_[id].queued && !open_[id].granted && BootClock::now() < wait_until)
     co_await answered_.Wait(wait_until);
-  const Answered answered = open_[id];
+  const QuestionState answered = open_[id];
   open_.erase(id);
-  if (!answered.received) ++figures_.unanswered;
+  if (!answered.received) ++counters_.unanswered;
   co_return answered;
 }
 
@@ -137,8 +137,8 @@
       co_return Refuse(QuotaStatus::kOverCapacity, {});
     if (verdict.quota_status != quota::TakeStatus::kInsufficient)
       co_return QuotaDecision{QuotaStatus::kGranted, {verdict.created_at, demand.units}, {}};
-    if (questions++ < kMaxQuestions && ledger_.Pool(demand.tenant, now)) {
-      const Answered answered = co_await AskPool(demand, wait_until);
+    if (questions++ < kMaxQuestions && ledger_.PoolFor(demand.tenant, now)) {
+      const QuestionState answered = co_await AskPool(demand, wait_until);
       granted = answered.granted ? answered.id : 0;
       if (answered.granted || !answered.received) continue;
       const auto retry_after = std::max<BootClock::duration>(answered.available_in, kMinRetryAfter);
@@ -153,7 +153,7 @@
 }
 
 void QuotaService::Hear(const CreditQuestion& question, const std::string& from) {
-  ++figures_.answered;
+  ++counters_.answered;
   const bool queued = ledger_.Queued();
   SendAnswers(ledger_.Answer(question, from, BootClock::now()));
   if (!queued && ledger_.Queued()) work_.NotifyAll();
@@ -161,7 +161,7 @@
 
 void QuotaService::Hear(const CreditAnswer& answer, const std::string& from) {
   if (!ledger_.TakeAnswer(answer, from, BootClock::now())) {
-    ++figures_.dropped;
+    ++counters_.dropped;
     return;
   }
   const auto open = open_.find(answer.asked_at_us);
--- a/src/tenants/quota_service.h
+++ b/src/tenants/quota_service.h
@@ -49,7 +49,7 @@
 
   /// @param self "IP:PORT" at which other daemons reach this one.
   QuotaService(boost::asio::io_context& context, quota::Settings settings, std::string self,
-               QuotaCounters& figures, Ports ports);
+               QuotaCounters& counters, Ports ports);
 
   void Start();
   /// Applies the limits of the configuration in force.
@@ -73,7 +73,7 @@
 
  private:
   /// State of an open question, from the answers received so far.
-  struct Answered {
+  struct QuestionState {
     std::int64_t id = 0;  ///< Id of the question: its time of asking.
     bool received = false;
     bool queued = false;
@@ -89,7 +89,7 @@
 
   Awaitable<void> Run();
   /// Asks the pool for the cost of a request, and waits while the request is queued there.
-  Awaitable<Answered> AskPool(quota::CreditDemand demand, quota::Time wait_until);
+  Awaitable<QuestionState> AskPool(quota::CreditDemand demand, quota::Time wait_until);
   /// Sends a question to another daemon, or handles it here if this daemon is the pool.
   void SendQuestion(const quota::AddressedQuestion& asked);
   void SendAnswers(const std::vector<quota::AddressedAnswer>& answers);
@@ -99,11 +99,11 @@
   BootClock::duration KnownShortage(const quota::CreditDemand& demand) const;
 
   quota::CreditLedger ledger_;
-  QuotaCounters& figures_;
+  QuotaCounters& counters_;
   Ports ports_;
   AsyncSignal answered_;
   AsyncSignal work_;  ///< Set when limits come into force or a request is queued at this pool.
-  std::map<std::int64_t, Answered> open_;  ///< By time of asking.
+  std::map<std::int64_t, QuestionState> open_;  ///< By time of asking.
   std::map<std::string, Shortage> shortages_;
   boost::asio::io_context& context_;
 };
--- a/test/tenants/credit_balance_test.cc
+++ b/test/tenants/credit_balance_test.cc
@@ -1,4 +1,4 @@
-// Credit with its ages at one daemon.
+// Tests for a tenant's credit at one daemon: order, expiry and merging.
 
 #include "tenants/credit_balance.h"
 
@@ -11,7 +11,7 @@
 
 const Time kNow{std::chrono::hours(1)};
 
-TEST_CASE("The oldest credit is taken first, and what dies is gone") {
+TEST_CASE("The oldest credit is taken first, and expired credit is dropped") {
   CreditBalance pool;
   pool.Add({kNow, 5});
   pool.Add({kNow - milliseconds(900), 3});
@@ -20,12 +20,12 @@
   pool.DropBefore(kNow - milliseconds(800));
   CHECK(pool.Units() == 5);
   CHECK(pool.Take(6) == std::nullopt);
-  CHECK(pool.Units() == 5);  // A try that fails takes nothing.
+  CHECK(pool.Units() == 5);  // A failed Take removes nothing.
   CHECK(pool.Take(5) == kNow);
   CHECK(pool.Units() == 0);
 }
 
-TEST_CASE("Parts close to each other are kept as one, as old as the older") {
+TEST_CASE("Parts created close together are merged with the older creation time") {
   CreditBalance pool;
   pool.Add({kNow, 1});
   pool.Add({kNow + milliseconds(49), 1});
@@ -35,7 +35,7 @@
   CHECK(taken[0].units == 2);
 }
 
-TEST_CASE("Nothing and less than nothing are no credit") {
+TEST_CASE("Zero and negative units are not added as credit") {
   CreditBalance pool;
   pool.Add({kNow, 0});
   pool.Add({kNow, -7});
@@ -44,7 +44,7 @@
   CHECK(pool.TakeUpTo(-1).empty());
 }
 
-TEST_CASE("Merged credit never grows younger, and none is lost") {
+TEST_CASE("Merging never makes credit younger and loses none") {
   std::vector<Credit> credits;
   for (int part = 0; part < 9; ++part) credits.push_back({kNow + milliseconds(100) * part, 1});
   const std::vector<Credit> merged = Merge(credits, 3);
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -1,4 +1,4 @@
-// One daemon's part of limits: what it makes, gives away, and takes in.
+// Tests for one daemon's credit ledger: accrual, deposits, grants and the queue.
 
 #include "tenants/credit_ledger.h"
 
@@ -34,7 +34,7 @@
   return std::chrono::duration_cast<microseconds>(duration).count();
 }
 
-/// A deposit of `units` that were just made when it was sent, `transit` ago at the latest.
+/// Returns a deposit of `units` that had just accrued when it was sent, with age 0.
 CreditQuestion Deposit(double units, std::int64_t asked_at_us, Time heard, Time sent) {
   CreditQuestion question;
   question.asked_at_us = asked_at_us;
@@ -44,17 +44,16 @@
   return question;
 }
 
-TEST_CASE("A daemon makes its share of the rate, and no more than a life's worth") {
+TEST_CASE("A daemon accrues its share of the rate, at most for one credit lifetime") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 4);
   CHECK(ledger.Units("t", kNow) == 0);
   CHECK(ledger.Units("t", kNow + seconds(1)) == Approx(25));
-  // Life: (burst + 0.3 x 0.1 x (8 x rate + burst)) / rate = 1.27 s.
+  // Lifetime: (burst + 0.3 x 0.1 x (8 x rate + burst)) / rate = 1.27 s.
   CHECK(ledger.Units("t", kNow + seconds(60)) == Approx(25 * 1.27).epsilon(0.11));
   CHECK(ledger.Units("t", kNow + seconds(60)) <= 25 * 1.27);
 }
 
-TEST_CASE(
-    "Tenants without a limit are granted all, unknown ones too, and nothing is kept of them") {
+TEST_CASE("Requests of unlimited and unknown tenants are always granted, without any state") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("free", 0, 100)});
   CHECK_FALSE(ledger.Limits());
   CHECK(ledger.Take("free", 1e9, 0, kNow).quota_status == TakeStatus::kUnlimited);
@@ -62,14 +61,14 @@
   CHECK(ledger.Tick(kNow + seconds(9)).empty());
 }
 
-TEST_CASE("More than a limit ever gives at once is told apart from what comes with time") {
+TEST_CASE("A request above the limit's capacity is distinguished from a lack of credit") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 10, 10)});
   CHECK(ledger.Take("t", 13, 0, kNow).quota_status == TakeStatus::kAboveCapacity);
   CHECK(ledger.Take("t", 12, 0, kNow).quota_status == TakeStatus::kInsufficient);
   CHECK(ledger.Take("t", 0, 0, kNow).quota_status == TakeStatus::kGranted);
 }
 
-TEST_CASE("While the size of the fleet is unknown, nothing is made, then or afterwards") {
+TEST_CASE("No credit accrues, even later, for the time in which the fleet size is unknown") {
   CreditLedger ledger(kSettings, "a");
   ledger.SetLimits({MakeTenant("t", 100, 100)}, kNow);
   CHECK(ledger.Units("t", kNow + seconds(5)) == 0);
@@ -78,7 +77,7 @@
   CHECK(ledger.Units("t", kNow + seconds(6)) == Approx(100));
 }
 
-TEST_CASE("A limit that appears, or comes back, begins without credit") {
+TEST_CASE("A new or restored limit starts without credit") {
   CreditLedger ledger = MakeLedger("a", {}, 1);
   ledger.SetLimits({MakeTenant("t", 100, 100)}, kNow + seconds(50));
   CHECK(ledger.Units("t", kNow + seconds(50)) == 0);
@@ -87,7 +86,7 @@
   CHECK(ledger.Units("t", kNow + seconds(52)) == 0);
 }
 
-TEST_CASE("A limit that falls takes its share of what was made, one that rises gives none back") {
+TEST_CASE("Lowering a limit scales accrued credit down; raising it does not restore any") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   const Time later = kNow + seconds(1);
   CHECK(ledger.Units("t", later) == Approx(100));
@@ -97,7 +96,7 @@
   CHECK(ledger.Units("t", later) == Approx(10));
 }
 
-TEST_CASE("A limit that counts another unit keeps no credit of the old one") {
+TEST_CASE("Changing the unit of a limit drops the credit of the old unit") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   Tenant tokens = MakeTenant("t", 100, 100);
   tokens.limit.unit = QuotaUnit::kTokens;
@@ -105,25 +104,25 @@
   CHECK(ledger.Units("t", kNow + seconds(1)) == 0);
 }
 
-TEST_CASE("Credit is as old at a pool as it was, and older by the longest it can have taken") {
+TEST_CASE("Deposited credit keeps its age, plus the longest possible transit time") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 1, 1)}, 1'000'000);
   const Time heard = kNow;
   const Time sent = kNow + milliseconds(200);
   const Time arrives = sent + milliseconds(900);
   pool.Answer(Deposit(0.5, 1, heard, sent), "a", arrives);
   CHECK(pool.Units("t", arrives) == Approx(0.5).epsilon(0.01));
-  // 1.27 s after it was sent it dies, not 1.27 s after it came.
+  // It expires 1.27 s after it was sent, not 1.27 s after it arrived.
   CHECK(pool.Units("t", sent + milliseconds(1'260)) == Approx(0.5).epsilon(0.01));
   CHECK(pool.Units("t", sent + milliseconds(1'290)) < 0.01);
 }
 
-TEST_CASE("Deposits whose age cannot be told are not believed") {
+TEST_CASE("Deposits with an unknown age or invalid units are dropped") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 100, 100)}, 1'000'000);
   CreditQuestion unheard = Deposit(5, 1, kNow, kNow);
   unheard.last_answer_stamp_us = 0;
   pool.Answer(unheard, "a", kNow);
   CHECK(pool.Units("t", kNow) < 0.01);
-  // It names a stamp from the future: another life of this machine's clock.
+  // The stamp lies in the future, as after a restart of this machine's clock.
   pool.Answer(Deposit(5, 2, kNow + seconds(9), kNow + seconds(9)), "a", kNow);
   CHECK(pool.Units("t", kNow) < 0.01);
   for (const double absurd : {std::nan(""), -5.0, static_cast<double>(INFINITY)}) {
@@ -132,17 +131,17 @@
   }
 }
 
-TEST_CASE("A question that comes twice, or out of its turn, deposits once at most") {
+TEST_CASE("A duplicated or reordered question deposits at most once") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 100, 100)}, 1'000'000);
   pool.Answer(Deposit(5, 10, kNow, kNow), "a", kNow);
   pool.Answer(Deposit(5, 10, kNow, kNow), "a", kNow);
   pool.Answer(Deposit(5, 9, kNow, kNow), "a", kNow);
   CHECK(pool.Units("t", kNow) == Approx(5).epsilon(0.01));
-  pool.Answer(Deposit(5, 1, kNow, kNow), "b", kNow);  // Of another daemon.
+  pool.Answer(Deposit(5, 1, kNow, kNow), "b", kNow);  // From another daemon.
   CHECK(pool.Units("t", kNow) == Approx(10).epsilon(0.01));
 }
 
-TEST_CASE("An answer is taken once, from the pool that was asked") {
+TEST_CASE("An answer is applied once, and only from the pool that was asked") {
   CreditLedger asker = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1'000'000);
   const AddressedQuestion asked = asker.Ask({"t", 5, 0, seconds(0)}, kNow);
   CHECK(asked.host == "pool");
@@ -154,9 +153,9 @@
   CHECK(asker.Units("t", kNow) == Approx(5).epsilon(0.01));
 }
 
-TEST_CASE("A pool gives what is needed or nothing, and says when there will be enough") {
+TEST_CASE("A pool grants all of the needed units or none, and states when there will be enough") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 100, 100)}, 1);
-  const Time now = kNow + milliseconds(500);  // 50 units are made.
+  const Time now = kNow + milliseconds(500);  // 50 units have accrued.
   CreditQuestion question;
   question.asked_at_us = 1;
   question.requests.push_back({"t", 80, 0, 0, {}});
@@ -174,7 +173,7 @@
   CHECK(pool.Units("t", now) == Approx(20));
 }
 
-/// Questions to a pool that makes 1,000 units a second by itself.
+/// A pool that accrues 1,000 units a second by itself, and questions to it.
 struct PoolFixture {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 1'000, 1'000)}, 1);
   std::int64_t asked = 0;
@@ -187,21 +186,22 @@
   }
 };
 
-TEST_CASE("Who waits for credit gets it in turn; who would not wait is told how long it takes") {
+TEST_CASE(
+    "Queued requests get credit in order; impatient ones are refused with the expected wait") {
   PoolFixture fixture;
-  const Time now = kNow + milliseconds(100);  // 100 units are made.
+  const Time now = kNow + milliseconds(100);  // 100 units have accrued.
   CHECK(fixture.Ask(80, milliseconds(0), now).parts.size() == 1);
   const CreditGrant first = fixture.Ask(300, seconds(1), now);
   CHECK(first.queued);
   CHECK(first.available_in_us == Approx(280'000).epsilon(0.01));
-  CHECK(fixture.Ask(300, seconds(1), now).queued);  // Behind the first.
+  CHECK(fixture.Ask(300, seconds(1), now).queued);  // Queued behind the first.
   const CreditGrant hasty = fixture.Ask(80, milliseconds(100), now);
   CHECK_FALSE(hasty.queued);
   CHECK(hasty.parts.empty());
   CHECK(hasty.available_in_us == Approx(660'000).epsilon(0.01));
-  CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);  // Next to nothing passes.
+  CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);  // A negligible cost goes first.
   CHECK(fixture.pool.Take("t", 6, 0, now).quota_status ==
-        TakeStatus::kInsufficient);  // Not past the queue.
+        TakeStatus::kInsufficient);  // Take does not bypass the queue.
   CHECK(fixture.pool.Serve(now + milliseconds(200)).empty());
   const auto served = fixture.pool.Serve(now + milliseconds(300));
   REQUIRE(served.size() == 1);
@@ -211,7 +211,7 @@
   CHECK_FALSE(fixture.pool.Queued());
 }
 
-TEST_CASE("The more urgent wait before the less urgent, and are told so") {
+TEST_CASE("More urgent requests queue before less urgent ones and are given a shorter wait") {
   PoolFixture fixture;
   const CreditGrant less = fixture.Ask(300, seconds(1), kNow, 2);
   CHECK(less.queued);
@@ -223,8 +223,7 @@
   CHECK(served[0].answer.asked_at_us == 2);
 }
 
-TEST_CASE(
-    "Requests that have given up are passed over, and what comes from others serves the rest") {
+TEST_CASE("Timed-out requests are skipped in the queue, and a deposit serves the next one") {
   PoolFixture fixture;
   CHECK(fixture.Ask(100, milliseconds(150), kNow).queued);
   CHECK(fixture.Ask(200, seconds(1), kNow).queued);
@@ -236,12 +235,13 @@
   CHECK(answers[1].to == "b");
 }
 
-TEST_CASE("What was granted to a request is kept for it, for a moment, and ages by its way only") {
-  CreditLedger asker = MakeLedger("a", {MakeTenant("t", 100, 100)}, 0);  // It makes none.
+TEST_CASE("Granted credit is reserved for its request and ages only by its transit time") {
+  CreditLedger asker = MakeLedger("a", {MakeTenant("t", 100, 100)}, 0);  // It accrues none.
   const AddressedQuestion asked = asker.Ask({"t", 5, 0, seconds(1)}, kNow);
   const std::int64_t id = asked.question.asked_at_us;
   CHECK(asker.TakeAnswer({id, 1, 0, {{"t", {}, true, 900'000}}}, "pool", kNow));
-  const Time later = kNow + milliseconds(900);  // Of which it waited 890 ms at the pool.
+  const Time later =
+      kNow + milliseconds(900);  // Of these, the question was held for 890 ms at the pool.
   CHECK(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK_FALSE(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK(asker.Take("t", 1, 0, later).quota_status == TakeStatus::kInsufficient);
@@ -250,7 +250,7 @@
   CHECK(verdict.created_at >= later - milliseconds(60));
 }
 
-TEST_CASE("What nobody takes goes back to the pool") {
+TEST_CASE("Granted credit that no request takes is deposited at the pool again") {
   CreditLedger asker = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1'000'000);
   const std::int64_t id = asker.Ask({"t", 5, 0, seconds(1)}, kNow).question.asked_at_us;
   CHECK(asker.TakeAnswer({id, 1, 0, {{"t", {{5, 0}}, false, 0}}}, "pool", kNow));
@@ -259,18 +259,18 @@
   CHECK(due[0].question.requests.at(0).deposit.at(0).units == Approx(5).epsilon(0.01));
 }
 
-TEST_CASE("A silent pool is passed over, and asked again after a while") {
+TEST_CASE("A pool that does not answer is skipped and asked again later") {
   CreditLedger ledger(kSettings, "a");
   ledger.SetLimits({MakeTenant("t", 100, 100)}, kNow);
   ledger.SetSharing({3, {"p", "q"}});
-  const std::string first = ledger.Pool("t", kNow).value();
+  const std::string first = ledger.PoolFor("t", kNow).value();
   const std::string other = first == "p" ? "q" : "p";
   ledger.Ask({"t", 50, 0, seconds(0)}, kNow);
-  CHECK(ledger.Pool("t", kNow + milliseconds(200)) == first);
+  CHECK(ledger.PoolFor("t", kNow + milliseconds(200)) == first);
   const Time later = kNow + milliseconds(300);
-  CHECK(ledger.Pool("t", later) == other);
+  CHECK(ledger.PoolFor("t", later) == other);
   ledger.Ask({"t", 50, 0, seconds(0)}, later);
-  CHECK(ledger.Pool("t", later + milliseconds(300)) == std::nullopt);
+  CHECK(ledger.PoolFor("t", later + milliseconds(300)) == std::nullopt);
   const std::vector<AddressedQuestion> again = ledger.Tick(kNow + seconds(3));
   REQUIRE(again.size() == 2);
   for (const AddressedQuestion& question : again) CHECK(question.question.requests.empty());
@@ -278,10 +278,10 @@
                                      [&](const auto& question) { return question.host == first; });
   REQUIRE(to_first != again.end());
   CHECK(ledger.TakeAnswer({to_first->question.asked_at_us, 1, 0, {}}, first, kNow + seconds(3)));
-  CHECK(ledger.Pool("t", kNow + seconds(3)) == first);
+  CHECK(ledger.PoolFor("t", kNow + seconds(3)) == first);
 }
 
-TEST_CASE("What a request did not use comes back, unless it has died meanwhile") {
+TEST_CASE("Unused credit is refunded unless it has expired in the meantime") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   const Time later = kNow + seconds(1);
   const TakeResult verdict = ledger.Take("t", 100, 0, later);
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -1,7 +1,7 @@
-// Limits of tenants over a fleet that loses, delays and repeats messages, freezes, cuts, kills and
-// grows. The shipped ledger runs at each daemon; the model carries messages and judges: in no
-// window may a tenant use more than what is promised. InjectedBug faults show that the judge would
-// see it.
+// Model test for tenant limits over a fleet with lost, delayed and repeated messages and with
+// frozen, partitioned, killed and restarted daemons. Each daemon runs the production ledger; the
+// model carries the messages and checks that no window exceeds the bound on a tenant's use.
+// Injected bugs show that the check detects violations.
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -17,17 +17,17 @@
 
 constexpr milliseconds kStep{10};
 constexpr milliseconds kAnswerTimeout{100};
-/// Traffic starts when the first credit has reached the pools.
+/// Traffic starts after the first credit has reached the pools.
 constexpr seconds kWarmUp{4};
 
-/// A rule of the ledger that is left out, to see the judge find it.
+/// A rule of the ledger that is broken on purpose, to prove that the check detects it.
 enum class InjectedBug { kNone, kTakenTwice, kKeptWhenSent, kStaleDaemonCount };
 
 struct Faults {
   double lost = 0;
-  double late = 0;      ///< Share of messages that come up to 3 s late.
-  double repeated = 0;  ///< Share of messages that come twice.
-  bool stops = false;   ///< Daemons freeze, restart, are cut off from each other.
+  double late = 0;      ///< Share of messages delayed by up to 3 s.
+  double repeated = 0;  ///< Share of messages delivered twice.
+  bool stops = false;   ///< Daemons freeze, restart and are partitioned.
 };
 
 struct Case {
@@ -36,10 +36,10 @@
   double rate = 100;
   double burst = 100;
   double cost = 1;    ///< Of each request.
-  double wanted = 1;  ///< Units asked for, as a share of the limit's rate.
-  double skew = 0;    ///< Share of the requests that come at the first daemon.
+  double wanted = 1;  ///< Requested units, as a share of the limit's rate.
+  double skew = 0;    ///< Share of the requests that arrive at the first daemon.
   double slack = 0;
-  milliseconds patience{0};  ///< Of each request, with a pool that has not enough.
+  milliseconds patience{0};  ///< Of each request, at a pool without enough credit.
   Faults faults;
   InjectedBug injected_bug = InjectedBug::kNone;
 };
@@ -67,7 +67,7 @@
   }
   double max_use_ratio() const {
     return max_use_ratio_;
-  }  ///< Of what is promised; above 1 it is broken.
+  }  ///< Maximum use in a window, relative to the bound; above 1 the bound is broken.
   std::uint64_t questions() const { return questions_; }
   double granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
@@ -78,7 +78,7 @@
     CreditLedger ledger;
     Time frozen_until{};
     Time down_until{};
-    int side = 0;  ///< Of a cut: only daemons of one side hear each other.
+    int side = 0;  ///< Side of a partition: only daemons of one side reach each other.
     std::int64_t clock_ahead_us = 0;
   };
   struct Waiting {
@@ -98,7 +98,7 @@
   static std::string Name(int number) { return "d" + std::to_string(number); }
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   int Pick(int below) { return std::uniform_int_distribution<>(0, below - 1)(random_); }
-  /// Each daemon has a clock of its own.
+  /// Each daemon has its own clock offset.
   Time Clock(int number) const {
     return now_ +
            std::chrono::microseconds(daemons_[static_cast<std::size_t>(number)].clock_ahead_us);
@@ -144,7 +144,7 @@
   void Deliver() {
     std::deque<Message> due;
     std::erase_if(messages_, [&](const Message& message) {
-      // What reaches a frozen daemon waits in its socket.
+      // Messages to a frozen daemon wait in its socket.
       const bool here = message.arrives <= now_ && At(message.to).frozen_until <= now_;
       if (here) due.push_back(message);
       return here;
@@ -204,7 +204,7 @@
       Grant();
       return;
     }
-    if (!daemon.ledger.Pool("t", own)) {
+    if (!daemon.ledger.PoolFor("t", own)) {
       ++refused_;
       return;
     }
@@ -215,7 +215,7 @@
     Send(number, asked.host, asked.question, std::nullopt);
   }
 
-  /// What a pool has said of a request that waits.
+  /// Records a pool's answer to a waiting request.
   void NoteAnswer(int number, const CreditAnswer& answer) {
     for (Waiting& waiting : waiting_) {
       if (waiting.number != number || waiting.asked_at_us != answer.asked_at_us) continue;
@@ -303,7 +303,7 @@
 
 const Faults kAllFaults{0.1, 0.1, 0.1, true};
 
-TEST_CASE("No schedule of faults lets a flood over its tenant's limit") {
+TEST_CASE("No schedule of faults lets a flood exceed its tenant's limit") {
   for (const int daemons : {2, 3, 7, 30}) {
     Case flood;
     flood.daemons = daemons;
@@ -317,7 +317,7 @@
   }
 }
 
-TEST_CASE("Large requests of a small tenant before a large fleet stay within its limit") {
+TEST_CASE("Large requests of a small tenant on a large fleet stay within its limit") {
   Case small;
   small.daemons = 84;
   small.pools = 3;
@@ -330,7 +330,7 @@
   CHECK(MaxUseRatio(small, 6, seconds(60)) <= 1);
 }
 
-TEST_CASE("A flood gets what its limit allows, and not much less") {
+TEST_CASE("A flood is granted at least 95% of its tenant's limit") {
   Case flood;
   flood.daemons = 20;
   flood.pools = 3;
@@ -341,7 +341,7 @@
 }
 
 TEST_CASE(
-    "A flood of requests larger than what a daemon makes in a credit's life gets its limit too") {
+    "A flood of requests above one daemon's accrual per credit lifetime still gets its limit") {
   Case flood;
   flood.daemons = 84;
   flood.pools = 3;
@@ -357,11 +357,12 @@
     INFO("patience " << patience.count() << " ms");
     CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
     CHECK(model.max_use_ratio() <= 1);
-    CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);  // Each asks once.
+    CHECK(static_cast<double>(model.questions()) <=
+          model.asked() / flood.cost);  // At most one question per request.
   }
 }
 
-TEST_CASE("Below its limit a tenant is refused nothing, however unevenly its requests come") {
+TEST_CASE("At most 1% is refused below the limit, however unevenly requests are spread") {
   for (const double skew : {0.0, 0.9}) {
     Case calm;
     calm.daemons = 84;
@@ -379,7 +380,8 @@
   }
 }
 
-TEST_CASE("While daemons freeze, are cut off and killed, most below the limit are still served") {
+TEST_CASE(
+    "Fewer than 15% are refused below the limit while daemons freeze, restart or are partitioned") {
   Case calm;
   calm.daemons = 7;
   calm.pools = 3;
@@ -397,19 +399,19 @@
   CHECK(refused < 0.15 * asked);
 }
 
-TEST_CASE("The judge sees each rule of the ledger that is left out") {
+TEST_CASE("The check detects each injected bug in the ledger") {
   Case flood;
   flood.daemons = 20;
   flood.pools = 1;
   flood.rate = 1'000;
   flood.burst = 1'000;
-  flood.cost = 60;  // More than one daemon makes in a life: pools are needed.
+  flood.cost = 60;  // Above one daemon's accrual per lifetime, so pools are needed.
   flood.wanted = 8;
   CHECK(MaxUseRatio(flood, 4, seconds(60)) <= 1);
   for (const InjectedBug injected_bug :
        {InjectedBug::kTakenTwice, InjectedBug::kKeptWhenSent, InjectedBug::kStaleDaemonCount}) {
     flood.injected_bug = injected_bug;
-    INFO("planted " << static_cast<int>(injected_bug));
+    INFO("injected bug " << static_cast<int>(injected_bug));
     CHECK(MaxUseRatio(flood, 4, seconds(60)) > 1);
   }
 }
--- a/test/tenants/credit_sharing_planner_test.cc
+++ b/test/tenants/credit_sharing_planner_test.cc
@@ -1,4 +1,4 @@
-// How many daemons limits are shared among, and who pools.
+// Tests for the counting of daemons that share limits and for the selection of pools.
 
 #include "tenants/credit_sharing_planner.h"
 
@@ -22,7 +22,7 @@
     census.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, now);
 }
 
-TEST_CASE("The first leader tells nothing before the fleet has had time to report") {
+TEST_CASE("The first leader publishes no count before the fleet has had time to report") {
   CreditSharingPlanner census(Address(0), 0.1);
   ReportAll(census, 3, kStart);
   CHECK(census.Count({}, kStart, kStart + seconds(1)).daemons == 0);
@@ -30,13 +30,14 @@
   CHECK(census.Count({}, kStart, kStart + seconds(3)).daemons == 84);
 }
 
-TEST_CASE("A new leader that has heard of three does not share limits among three") {
+TEST_CASE(
+    "A new leader with three reports keeps its predecessor's count instead of counting three") {
   CreditSharingPlanner census(Address(0), 0.1);
   ReportAll(census, 3, kStart);
   CHECK(census.Count({84, {}}, kStart, kStart + seconds(1)).daemons == 84);
 }
 
-TEST_CASE("More daemons count at once, fewer after minutes") {
+TEST_CASE("An increase in daemons counts at once, a decrease after minutes") {
   CreditSharingPlanner census(Address(0), 0.1);
   const Time later = kStart + minutes(20);
   ReportAll(census, 99, later);
@@ -47,7 +48,7 @@
   CHECK(census.Count({100, {}}, kStart, later + minutes(6)).daemons == 50);
 }
 
-TEST_CASE("The strongest pool, and go on as long as they report") {
+TEST_CASE("The strongest daemons become pools and stay pools as long as they report") {
   CreditSharingPlanner census(Address(0), 0.1);
   const Time now = kStart + minutes(1);
   ReportAll(census, 83, now);
@@ -66,7 +67,7 @@
   CHECK(second.hosts[1] == first.hosts[2]);
 }
 
-TEST_CASE("A new leader keeps the pools until they had time to find it") {
+TEST_CASE("A new leader keeps the pools until they have had time to report to it") {
   CreditSharingPlanner census(Address(0), 0.1);
   const CreditSharing known{84, {Address(50), Address(60), Address(70)}};
   CHECK(census.Count(known, kStart, kStart + seconds(1)).hosts == known.hosts);
@@ -74,7 +75,8 @@
         std::vector<std::string>{Address(0)});
 }
 
-TEST_CASE("Pools grow with the fleet, within bounds; a fleet of one pools with itself") {
+TEST_CASE(
+    "The number of pools grows with the fleet up to a maximum; a single daemon is its own pool") {
   CreditSharingPlanner alone(Address(0), 0.1);
   CHECK(alone.Count({}, kStart, kStart + seconds(3)).hosts == std::vector<std::string>{Address(0)});
   CreditSharingPlanner large(Address(0), 0.1);
--- a/test/tenants/key_digest_test.cc
+++ b/test/tenants/key_digest_test.cc
@@ -1,4 +1,4 @@
-// What a process keeps of a key.
+// Tests for key digests.
 
 #include "tenants/key_digest.h"
 
@@ -9,7 +9,7 @@
 namespace moorfold {
 namespace {
 
-TEST_CASE("One key has one digest, and other keys have others") {
+TEST_CASE("Equal keys have equal digests, and different keys have different ones") {
   CHECK(DigestOfKey("a key") == DigestOfKey("a key"));
   std::set<KeyDigest> digests;
   for (int number = 0; number < 10'000; ++number)
@@ -17,7 +17,7 @@
   CHECK(digests.size() == 10'000);
 }
 
-TEST_CASE("Keys that begin alike, or hold each other, are told apart") {
+TEST_CASE("Keys that share a prefix have different digests") {
   CHECK(DigestOfKey("abc") != DigestOfKey("ab"));
   CHECK(DigestOfKey("") != DigestOfKey(std::string(1, '\0')));
 }
--- a/test/tenants/keyed_request_test.cc
+++ b/test/tenants/keyed_request_test.cc
@@ -1,5 +1,4 @@
-// Requests of tenants on their way: who is let in, in whose name they run, and what becomes of
-// those whose keys are taken away.
+// Tests for requests with tenant keys: authentication, attribution to the tenant and revoked keys.
 
 #include <catch2/catch.hpp>
 
@@ -56,7 +55,7 @@
   ScriptedServer server;
 };
 
-TEST_CASE("A request with a known key runs in its tenant's name, and the key stays here") {
+TEST_CASE("A request with a known key runs under its tenant, and the key is not forwarded") {
   Fixture fixture;
   fixture.Configure({MakeTenant("north", "k1"), MakeTenant("south", "k2")});
   CHECK(PipelineFixture::Status(fixture.Ask(WithKey("k2") + "X-Tenant: north\r\n")) == 200);
@@ -65,7 +64,7 @@
   CHECK_FALSE(Has(fixture.seen, "k2"));
 }
 
-TEST_CASE("Without a key that the configuration in force knows, nothing runs") {
+TEST_CASE("Requests without a key of the configuration in force are not executed") {
   Fixture fixture;
   fixture.Configure({MakeTenant("north", "k1")});
   struct Case {
@@ -98,11 +97,12 @@
   CHECK_FALSE(Has(fixture.seen, "X-Tenant"));
   fixture.Configure({});
   CHECK(PipelineFixture::Status(fixture.Ask(WithKey("own"))) == 200);
-  CHECK(Has(fixture.seen, "Authorization: Bearer own"));  // Not a key of this system.
+  CHECK(Has(fixture.seen, "Authorization: Bearer own"));  // Not a tenant's key, so it is forwarded.
 }
 
 TEST_CASE(
-    "A daemon whose configuration may be old refuses no key for good, and serves known ones") {
+    "A daemon with a possibly old configuration refuses unknown keys only for now and serves known "
+    "ones") {
   Fixture fixture;
   fixture.Configure({MakeTenant("north", "k1")});
   fixture.gateway.OnThread(
@@ -114,7 +114,7 @@
   CHECK(PipelineFixture::Status(fixture.Ask(WithKey("k1"))) == 200);
 }
 
-TEST_CASE("A tenant's priority goes before its route's") {
+TEST_CASE("A tenant's priority overrides its route's") {
   Fixture fixture;
   Route route = PipelineFixture::MakeRoute(RouteType::kRepeatable);
   route.priority = 4;
@@ -128,7 +128,7 @@
   CHECK(Has(fixture.seen, "X-Request-Priority: 4\r\n"));
 }
 
-TEST_CASE("A request that waited is not sent once its key is gone") {
+TEST_CASE("A waiting request is not sent after its key is revoked") {
   Fixture fixture;
   Route route = PipelineFixture::MakeRoute(RouteType::kRepeatable);
   route.target = seconds(2);
@@ -145,7 +145,7 @@
   CHECK(fixture.requests == 0);
 }
 
-TEST_CASE("A request at a server goes on to its end when its key goes") {
+TEST_CASE("A request already at a server completes after its key is revoked") {
   PipelineFixture gateway;
   std::promise<void> arrived;
   std::promise<void> go_on;
@@ -168,7 +168,7 @@
   CHECK(PipelineFixture::Status(answer) == 200);
 }
 
-/// Refuses requests whose path names them bad, and serves all others.
+/// Refuses requests to /p/bad, and serves all others.
 ScriptedServer::Script RefuseBad(std::atomic<int>& refused) {
   return [&refused](ScriptedConnection& connection) {
     for (std::string head = connection.ReadHead(); !head.empty(); head = connection.ReadHead()) {
@@ -181,7 +181,7 @@
   };
 }
 
-TEST_CASE("Requests that servers with places refuse change nothing for others") {
+TEST_CASE("A request that servers with free capacity refuse does not affect other requests") {
   PipelineFixture gateway;
   gateway.OnThread([&] { gateway.pipeline().SetFreeRepeats(50); });
   std::atomic<int> refused{0};
@@ -201,10 +201,10 @@
     CHECK(PipelineFixture::Status(good) == 200);
     CHECK(BootClock::now() - began < milliseconds(200));
   }
-  CHECK(refused == 10);  // Two servers are asked for each, not more.
+  CHECK(refused == 10);  // At most two servers are tried for each request.
 }
 
-TEST_CASE("One server that refuses a request is not asked for it again soon; another serves it") {
+TEST_CASE("A server that refuses a request is not tried again for it soon; another one serves it") {
   PipelineFixture gateway;
   gateway.OnThread([&] { gateway.pipeline().SetFreeRepeats(50); });
   std::atomic<int> refused{0};
--- a/test/tenants/limited_request_test.cc
+++ b/test/tenants/limited_request_test.cc
@@ -1,4 +1,4 @@
-// Requests of tenants with limits: what is let in, what waits, and what is told.
+// Tests for requests of limited tenants: admission, waiting and refusal.
 
 #include <catch2/catch.hpp>
 
@@ -23,7 +23,7 @@
   return {name, {}, limit, {DigestOfKey(key)}};
 }
 
-/// A gateway that is alone in its fleet, before one server.
+/// The only gateway of a fleet, in front of one server.
 struct Fixture {
   explicit Fixture(QuotaLimit limit, std::string answer = kOk,
                    milliseconds target = milliseconds(0))
@@ -51,8 +51,7 @@
   ScriptedServer server;
 };
 
-TEST_CASE(
-    "A tenant is served up to its limit, then told when to come back; others are not touched") {
+TEST_CASE("A tenant over its limit is refused with a retry time; other tenants are not affected") {
   Fixture fixture({QuotaUnit::kRequests, 2, 2, 0});
   fixture.Share({1, {"self"}});
   std::this_thread::sleep_for(milliseconds(1'400));
@@ -75,7 +74,7 @@
   CHECK(PipelineFixture::Status(fixture.Ask("", "l")) == 200);
 }
 
-TEST_CASE("A request for which there will soon be credit waits for it") {
+TEST_CASE("A request waits if enough credit is expected soon") {
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0}, kOk, seconds(2));
   fixture.Share({1, {"self"}});
   const auto began = BootClock::now();
@@ -84,7 +83,7 @@
   CHECK(BootClock::now() - began < milliseconds(1'000));
 }
 
-TEST_CASE("Tokens are counted as stated, and a request that states them badly runs nowhere") {
+TEST_CASE("Stated tokens are counted, and a request with a malformed count is not executed") {
   Fixture fixture({QuotaUnit::kTokens, 1'000, 1'000, 100});
   fixture.Share({1, {"self"}});
   for (const char* bad : {"X-Token-Usage: many\r\n", "X-Token-Usage: -5,1\r\n",
@@ -103,7 +102,8 @@
   CHECK(PipelineFixture::Status(fixture.Ask("X-Token-Usage: 600,200\r\n")) == 429);
 }
 
-TEST_CASE("Where no daemon can tell what is left, requests are refused as such") {
+TEST_CASE(
+    "Requests are refused with the unknown-quota reason if no daemon knows the remaining credit") {
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0});
   const std::string answer = fixture.Ask();
   CHECK(PipelineFixture::Status(answer) == 503);
@@ -112,7 +112,7 @@
   CHECK(fixture.requests == 0);
 }
 
-TEST_CASE("A pool that does not answer keeps a request for a moment only") {
+TEST_CASE("A pool that does not answer delays a request only briefly") {
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0});
   fixture.Share({1'000, {"10.255.255.1:1"}});
   const auto began = BootClock::now();
@@ -120,7 +120,7 @@
   CHECK(BootClock::now() - began < milliseconds(1'000));
 }
 
-TEST_CASE("A request that ran nowhere uses nothing of its tenant's limit") {
+TEST_CASE("A request that was not executed uses none of its tenant's limit") {
   Fixture fixture({QuotaUnit::kRequests, 1, 1, 0}, kFull);
   fixture.Share({1, {"self"}});
   std::this_thread::sleep_for(milliseconds(1'100));
--- a/test/tenants/presented_key_test.cc
+++ b/test/tenants/presented_key_test.cc
@@ -1,4 +1,4 @@
-// What is read as a caller's key, and what is not.
+// Tests for reading the caller's key from the Authorization header.
 
 #include "tenants/presented_key.h"
 
@@ -7,7 +7,7 @@
 namespace moorfold {
 namespace {
 
-TEST_CASE("A key is read from one Authorization header of the scheme Bearer") {
+TEST_CASE("A key is read only from a single Authorization header with the Bearer scheme") {
   struct Case {
     HttpHeaders headers;
     KeyState state;
--- a/test/tenants/system_headers_test.cc
+++ b/test/tenants/system_headers_test.cc
@@ -1,4 +1,4 @@
-// Headers by which only the system steers servers, however clients spell them.
+// Tests that clients cannot forge the headers by which the system controls servers.
 
 #include <rapidcheck.h>
 
@@ -26,7 +26,7 @@
   return text;
 }
 
-/// What a server got of the header, in lower case; empty: nothing.
+/// Returns the header's value as the server received it, in lower case; empty if absent.
 std::string ValueIn(const std::string& head, const std::string& name) {
   const std::string all = Lower(head);
   const std::string mark = "\r\n" + Lower(name) + ":";
@@ -36,7 +36,7 @@
   return all.substr(begin, all.find("\r\n", begin) - begin);
 }
 
-/// A gateway before one server that keeps the head of each request.
+/// A gateway in front of one server that records the head of each request.
 class KeptHeads {
  public:
   KeptHeads()
@@ -65,7 +65,7 @@
   ScriptedServer server_;
 };
 
-TEST_CASE("What clients send of the system's own headers reaches no server, in any spelling") {
+TEST_CASE("System-only headers from clients reach no server, in any spelling") {
   KeptHeads heads;
   const platform::Protocol protocol;
   const std::vector<std::string>& list = protocol.headers().system_only;
@@ -83,7 +83,8 @@
   }
 }
 
-TEST_CASE("Naming a header in Connection neither keeps nor removes what the system sets") {
+TEST_CASE(
+    "Listing a header in Connection neither preserves a forged one nor removes the system's") {
   KeptHeads heads;
   const std::string head = heads.HeadFor(
       "Connection: X-Expect-Instance, X-Tenant, X-Deadline-Ms\r\nX-Tenant: forged\r\n");
@@ -92,7 +93,7 @@
   CHECK_FALSE(ValueIn(head, "X-Deadline-Ms").empty());
 }
 
-TEST_CASE("A client's own headers pass") {
+TEST_CASE("A client's own headers are forwarded") {
   KeptHeads heads;
   const std::string head = heads.HeadFor("X-Length-Hint: 7\r\nX-Holdings: mine\r\nX-Kv: mine\r\n");
   CHECK(ValueIn(head, "X-Length-Hint") == " 7");
@@ -100,13 +101,13 @@
   CHECK(ValueIn(head, "X-Kv") == " mine");
 }
 
-TEST_CASE("The key is not shown to servers, also where the route needs none") {
+TEST_CASE("The key is not forwarded to servers, even on routes that need none") {
   KeptHeads heads;
   CHECK(Lower(heads.HeadFor("Authorization: Bearer secret\r\n")).find("secret") ==
         std::string::npos);
 }
 
-TEST_CASE("Random spellings of the system's headers are taken off, and nothing else is lost") {
+TEST_CASE("Random spellings of system-only headers are removed, and no other header is") {
   KeptHeads heads;
   const platform::Protocol protocol;
   const std::vector<std::string>& list = protocol.headers().system_only;
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -1,4 +1,4 @@
-// Whose key is whose, and lists of tenants that contradict themselves.
+// Tests for key lookup and for the validation of tenant lists.
 
 #include "tenants/tenant_directory.h"
 
@@ -15,7 +15,7 @@
   return tenant;
 }
 
-TEST_CASE("A key belongs to the tenant that lists it, among ten thousand") {
+TEST_CASE("A key maps to the tenant that lists it, among ten thousand") {
   std::vector<Tenant> tenants;
   for (int number = 0; number < 100; ++number) {
     std::vector<std::string> keys;
@@ -31,19 +31,19 @@
   CHECK(directory.FindByName("t100") == nullptr);
 }
 
-TEST_CASE("A tenant without keys is no mistake: nobody may call in its name") {
+TEST_CASE("A tenant without keys is valid and matches no caller") {
   const std::vector<Tenant> tenants = {MakeTenant("quiet", {})};
   const TenantDirectory directory(tenants);
   CHECK_FALSE(directory.empty());
   CHECK(directory.Find(DigestOfKey("")) == nullptr);
 }
 
-TEST_CASE("One key listed twice by one tenant is one key") {
+TEST_CASE("A key listed twice by the same tenant is accepted") {
   const std::vector<Tenant> tenants = {MakeTenant("a", {"k", "k"})};
   CHECK(TenantDirectory(tenants).Find(DigestOfKey("k")) == &tenants[0]);
 }
 
-TEST_CASE("A list of tenants that contradicts itself is refused with a remedy") {
+TEST_CASE("An inconsistent list of tenants is rejected with a remedy") {
   struct Case {
     std::vector<Tenant> tenants;
     const char* told;
--- a/test/tenants/token_usage_test.cc
+++ b/test/tenants/token_usage_test.cc
@@ -1,4 +1,4 @@
-// What a request counts against its tenant's limit.
+// Tests for the cost of a request against its tenant's limit.
 
 #include "tenants/token_usage.h"
 
@@ -9,7 +9,7 @@
 
 constexpr const char* kTokens = "X-Tokens";
 
-TEST_CASE("Tokens are stated as two whole numbers, and nothing else is counted") {
+TEST_CASE("Only two whole numbers are accepted as a token count") {
   struct Case {
     const char* stated;
     std::optional<double> sum;
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("A request counts one, its stated tokens, or what plain requests count") {
+TEST_CASE("A request costs one unit, its stated tokens, or the default token count") {
   const QuotaLimit requests{QuotaUnit::kRequests, 10, 0, 0};
   const QuotaLimit tokens{QuotaUnit::kTokens, 10, 0, 200};
   CHECK(CountQuotaUnits(requests, {{kTokens, "no number"}}, kTokens) == 1.0);
