--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -33,8 +33,8 @@
 /// request that it was to complete would be refused (28% of a small tenant's requests below its
 /// limit, in credit_model_test).
 constexpr milliseconds kMinLifetimeLeftToGrant{100};
-/// How long granted credit is reserved for its request. The request takes it at once, unless it has
-/// been cancelled.
+/// How long granted credit is reserved for its request. A request takes it at once, unless it has
+/// ended in the meantime.
 constexpr milliseconds kReservationTime{50};
 /// Maximum requests queued at one pool for one tenant's credit.
 constexpr std::size_t kMaxQueueLength = 4'096;
@@ -54,7 +54,7 @@
 constexpr double kUseTimeConstantS = 2;
 /// Credit for this many seconds of use is kept back from deposits if it covers several requests. A
 /// daemon with few requests of a tenant would otherwise keep credit that never suffices for one.
-constexpr double kReserveForS = 0.5;
+constexpr double kKeepBackS = 0.5;
 
 std::int64_t Microseconds(BootClock::duration duration) {
   return std::chrono::duration_cast<microseconds>(duration).count();
@@ -93,10 +93,10 @@
 
 /// @param transit The longest time that the parts can have been in transit.
 void Unpack(const std::vector<CreditPart>& parts, BootClock::duration transit, Time now,
-            CreditBalance& pool) {
+            CreditBalance& balance) {
   for (const CreditPart& part : parts) {
     if (!std::isfinite(part.units) || part.age_us < 0) continue;
-    pool.Add({now - microseconds(part.age_us) - transit, part.units});
+    balance.Add({now - microseconds(part.age_us) - transit, part.units});
   }
 }
 
@@ -127,8 +127,8 @@
     if (before > tenant.limit.rate_per_second) {
       // Scales accrued credit to what the new limit would have accrued.
       const double share = tenant.limit.rate_per_second / before;
-      for (const Credit& credit : account.pool.TakeUpTo(account.pool.Units()))
-        account.pool.Add({credit.created_at, credit.units * share});
+      for (const Credit& credit : account.balance.TakeUpTo(account.balance.Units()))
+        account.balance.Add({credit.created_at, credit.units * share});
     }
     accounts.emplace(tenant.name, std::move(account));
   }
@@ -136,7 +136,7 @@
 }
 
 void CreditLedger::SetSharing(CreditSharing sharing) {
-  std::erase_if(hosts_, [&](const auto& host) {
+  std::erase_if(pool_states_, [&](const auto& host) {
     return std::find(sharing.hosts.begin(), sharing.hosts.end(), host.first) == sharing.hosts.end();
   });
   sharing_ = std::move(sharing);
@@ -148,12 +148,12 @@
     Time from = std::max(account.accrued_until, now - account.lifetime);
     while (from < now) {
       const Time to = std::min<Time>(now, from + kAccrualInterval);
-      account.pool.Add({from, units_per_second * Seconds(to - from)});
+      account.balance.Add({from, units_per_second * Seconds(to - from)});
       from = to;
     }
   }
   account.accrued_until = now;
-  account.pool.DropBefore(now - account.lifetime);
+  account.balance.DropBefore(now - account.lifetime);
 }
 
 void CreditLedger::RecordUse(Account& account, double units, Time now) const {
@@ -165,7 +165,7 @@
 
 double CreditLedger::Account::AvailableUnits(Time now) {
   std::erase_if(reserved, [&](const Reserved& each) { return each.until < now; });
-  double free = pool.Units();
+  double free = balance.Units();
   for (const Reserved& each : reserved) free -= each.units;
   return free;
 }
@@ -184,7 +184,7 @@
   const bool own_turn = reserved_for_it > 0 || account.queue.empty();
   if (units > 0 && (!own_turn || account.AvailableUnits(now) + kRoundingTolerance < units))
     return {TakeStatus::kInsufficient, now};
-  const std::optional<Time> created_at = account.pool.Take(units);
+  const std::optional<Time> created_at = account.balance.Take(units);
   if (!created_at && units > 0) return {TakeStatus::kInsufficient, now};
   RecordUse(account, units, now);
   return {TakeStatus::kGranted, created_at.value_or(now)};
@@ -193,7 +193,7 @@
 void CreditLedger::Refund(const std::string& tenant, Credit credit, Time now) {
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) return;
-  found->second.pool.Add(credit);
+  found->second.balance.Add(credit);
   Accrue(found->second, now);
 }
 
@@ -206,12 +206,12 @@
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) return 0;
   Accrue(found->second, now);
-  return found->second.pool.Units();
+  return found->second.balance.Units();
 }
 
 bool CreditLedger::IsUnresponsive(const std::string& host, Time now) const {
-  const auto found = hosts_.find(host);
-  if (found == hosts_.end() || found->second.unanswered_since == Time{}) return false;
+  const auto found = pool_states_.find(host);
+  if (found == pool_states_.end() || found->second.unanswered_since == Time{}) return false;
   return now - found->second.unanswered_since > kPoolTimeout;
 }
 
@@ -226,7 +226,7 @@
 }
 
 CreditQuestion CreditLedger::NewQuestion(const std::string& host, Time now) {
-  Host& known = hosts_[host];
+  PoolState& known = pool_states_[host];
   if (known.unanswered_since == Time{}) known.unanswered_since = now;
   known.asked_at = now;
   CreditQuestion question;
@@ -236,7 +236,7 @@
   known.open.insert(last_asked_us_);
   if (known.open.size() > kMaxOpenQuestions) known.open.erase(known.open.begin());
   question.last_answer_stamp_us = known.stamp_us;
-  if (known.stamp_us != 0) question.since_last_answer_us = Microseconds(now - known.heard_at);
+  if (known.stamp_us != 0) question.since_last_answer_us = Microseconds(now - known.last_answer_at);
   return question;
 }
 
@@ -250,9 +250,9 @@
 
 std::vector<Credit> CreditLedger::Surplus(Account& account, Time now) {
   constexpr double kSeveral = 3;
-  const bool several = account.requests_per_second * kReserveForS >= kSeveral;
-  const double keep = several ? account.units_per_second * kReserveForS : 0;
-  return account.pool.TakeUpTo(account.AvailableUnits(now) - keep);
+  const bool several = account.requests_per_second * kKeepBackS >= kSeveral;
+  const double keep = several ? account.units_per_second * kKeepBackS : 0;
+  return account.balance.TakeUpTo(account.AvailableUnits(now) - keep);
 }
 
 BootClock::duration CreditLedger::DepositInterval() const {
@@ -280,7 +280,7 @@
   }
   for (const std::string& host : sharing_.hosts)
     if (host != self_ && Limits() && IsUnresponsive(host, now) &&
-        now - hosts_[host].asked_at > kSilentPoolRetryInterval)
+        now - pool_states_[host].asked_at > kSilentPoolRetryInterval)
       questions.try_emplace(host, NewQuestion(host, now));
   std::vector<AddressedQuestion> addressed;
   for (auto& [host, question] : questions) addressed.push_back({host, std::move(question)});
@@ -291,9 +291,9 @@
                             std::vector<CreditPart>& parts) {
   const BootClock::duration least_left = std::min<BootClock::duration>(
       kMinLifetimeLeftToGrant, account.lifetime / kDepositsPerLifetime);
-  account.pool.DropBefore(now - account.lifetime + least_left);
+  account.balance.DropBefore(now - account.lifetime + least_left);
   if (account.AvailableUnits(now) < units) return false;
-  parts = Pack(account.pool.TakeUpTo(units), now);
+  parts = Pack(account.balance.TakeUpTo(units), now);
   return true;
 }
 
@@ -338,7 +338,7 @@
       answers.push_back({first.from,
                          {first.asked_at_us,
                           Microseconds(now.time_since_epoch()),
-                          Microseconds(now - first.queued_at),
+                          Microseconds(now - first.enqueued_at),
                           {std::move(grant)}}});
     }
     account.queue.pop_front();
@@ -387,7 +387,7 @@
     if (found == accounts_.end())
       continue;  // One of the two daemons does not have the newest limits.
     Account& account = found->second;
-    if (aged) Unpack(request.deposit, transit, now, account.pool);
+    if (aged) Unpack(request.deposit, transit, now, account.balance);
     Accrue(account, now);
     ServeQueue(request.tenant, account, now, served);
     if (request.needed > 0)
@@ -398,13 +398,13 @@
 }
 
 bool CreditLedger::TakeAnswer(const CreditAnswer& answer, const std::string& from, Time now) {
-  const auto known = hosts_.find(from);
+  const auto known = pool_states_.find(from);
   const bool more_comes = std::any_of(answer.grants.begin(), answer.grants.end(),
                                       [](const CreditGrant& grant) { return grant.queued; });
-  if (known == hosts_.end() || !known->second.open.contains(answer.asked_at_us)) return false;
+  if (known == pool_states_.end() || !known->second.open.contains(answer.asked_at_us)) return false;
   if (!more_comes) known->second.open.erase(answer.asked_at_us);
   known->second.stamp_us = answer.stamp_us;
-  known->second.heard_at = now;
+  known->second.last_answer_at = now;
   known->second.unanswered_since = Time{};
   const Time asked_at{microseconds(answer.asked_at_us)};
   // The whole round trip, without the time that the question was held at the pool.
@@ -415,9 +415,9 @@
       continue;
     double units = 0;
     for (const CreditPart& part : grant.parts) units += part.units;
-    Unpack(grant.parts, transit, now, found->second.pool);
+    Unpack(grant.parts, transit, now, found->second.balance);
     found->second.reserved.push_back({answer.asked_at_us, units, now + kReservationTime});
-    found->second.pool.DropBefore(now - found->second.lifetime);
+    found->second.balance.DropBefore(now - found->second.lifetime);
   }
   return true;
 }
--- a/src/tenants/credit_ledger.h
+++ b/src/tenants/credit_ledger.h
@@ -134,7 +134,7 @@
     std::int64_t asked_at_us = 0;
     double units = 0;
     std::uint32_t rank = 0;  ///< The lowest rank is served first.
-    Time queued_at{};
+    Time enqueued_at{};
     Time deadline{};
   };
   struct Account {
@@ -144,7 +144,7 @@
     double units_per_second = 0;     ///< Moving average of the units used at this daemon.
     double requests_per_second = 0;  ///< Moving average of the requests at this daemon.
     Time used_at{};
-    CreditBalance pool;
+    CreditBalance balance;
     std::vector<Reserved> reserved;
     std::deque<Waiting> queue;  ///< By rank, then by arrival.
 
@@ -152,9 +152,9 @@
     double AvailableUnits(Time now);
   };
   /// State of a pool, as seen by this daemon.
-  struct Host {
+  struct PoolState {
     std::int64_t stamp_us = 0;  ///< Of its last answer.
-    Time heard_at{};
+    Time last_answer_at{};
     Time unanswered_since{};  ///< Zero if no question is open.
     Time asked_at{};
     std::set<std::int64_t> open;  ///< Unanswered questions, by time of asking.
@@ -190,7 +190,7 @@
   std::string self_;
   CreditSharing sharing_;
   std::map<std::string, Account> accounts_;  ///< By tenant; only tenants with a limit.
-  std::map<std::string, Host> hosts_;
+  std::map<std::string, PoolState> pool_states_;
   std::map<std::string, Sender> senders_;
   Time deposit_due_{};
   std::int64_t last_asked_us_ = 0;
--- a/src/tenants/quota_service.h
+++ b/src/tenants/quota_service.h
@@ -33,8 +33,7 @@
 struct QuotaDecision {
   QuotaStatus quota_status = QuotaStatus::kGranted;
   quota::Credit credit;  ///< If granted: the credit taken, to be refunded if it is not used.
-  std::chrono::milliseconds retry_after{
-      0};  ///< If refused: delay after which the request may be retried.
+  std::chrono::milliseconds retry_after{0};  ///< If refused: the retry delay.
 };
 
 /// Exchanges messages between a daemon's credit ledger (see quota::CreditLedger) and the ledgers of
--- a/test/tenants/credit_balance_test.cc
+++ b/test/tenants/credit_balance_test.cc
@@ -12,36 +12,36 @@
 const Time kNow{std::chrono::hours(1)};
 
 TEST_CASE("The oldest credit is taken first, and expired credit is dropped") {
-  CreditBalance pool;
-  pool.Add({kNow, 5});
-  pool.Add({kNow - milliseconds(900), 3});
-  CHECK(pool.Units() == 8);
-  CHECK(pool.Take(2) == kNow - milliseconds(900));
-  pool.DropBefore(kNow - milliseconds(800));
-  CHECK(pool.Units() == 5);
-  CHECK(pool.Take(6) == std::nullopt);
-  CHECK(pool.Units() == 5);  // A failed Take removes nothing.
-  CHECK(pool.Take(5) == kNow);
-  CHECK(pool.Units() == 0);
+  CreditBalance balance;
+  balance.Add({kNow, 5});
+  balance.Add({kNow - milliseconds(900), 3});
+  CHECK(balance.Units() == 8);
+  CHECK(balance.Take(2) == kNow - milliseconds(900));
+  balance.DropBefore(kNow - milliseconds(800));
+  CHECK(balance.Units() == 5);
+  CHECK(balance.Take(6) == std::nullopt);
+  CHECK(balance.Units() == 5);  // A failed Take removes nothing.
+  CHECK(balance.Take(5) == kNow);
+  CHECK(balance.Units() == 0);
 }
 
 TEST_CASE("Parts created close together are merged with the older creation time") {
-  CreditBalance pool;
-  pool.Add({kNow, 1});
-  pool.Add({kNow + milliseconds(49), 1});
-  const std::vector<Credit> taken = pool.TakeUpTo(10);
+  CreditBalance balance;
+  balance.Add({kNow, 1});
+  balance.Add({kNow + milliseconds(49), 1});
+  const std::vector<Credit> taken = balance.TakeUpTo(10);
   REQUIRE(taken.size() == 1);
   CHECK(taken[0].created_at == kNow);
   CHECK(taken[0].units == 2);
 }
 
 TEST_CASE("Zero and negative units are not added as credit") {
-  CreditBalance pool;
-  pool.Add({kNow, 0});
-  pool.Add({kNow, -7});
-  CHECK(pool.Units() == 0);
-  CHECK(pool.Take(1) == std::nullopt);
-  CHECK(pool.TakeUpTo(-1).empty());
+  CreditBalance balance;
+  balance.Add({kNow, 0});
+  balance.Add({kNow, -7});
+  CHECK(balance.Units() == 0);
+  CHECK(balance.Take(1) == std::nullopt);
+  CHECK(balance.TakeUpTo(-1).empty());
 }
 
 TEST_CASE("Merging never makes credit younger and loses none") {
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -235,7 +235,7 @@
   CHECK(answers[1].to == "b");
 }
 
-TEST_CASE("Granted credit is reserved for its request and ages only by its transit time") {
+TEST_CASE("Granted credit is briefly reserved for its request and ages only by its transit time") {
   CreditLedger asker = MakeLedger("a", {MakeTenant("t", 100, 100)}, 0);  // It accrues none.
   const AddressedQuestion asked = asker.Ask({"t", 5, 0, seconds(1)}, kNow);
   const std::int64_t id = asked.question.asked_at_us;
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -78,7 +78,7 @@
     CreditLedger ledger;
     Time frozen_until{};
     Time down_until{};
-    int side = 0;  ///< Side of a partition: only daemons of one side reach each other.
+    int partition_side = 0;  ///< Side of a partition: only daemons of one side reach each other.
     std::int64_t clock_ahead_us = 0;
   };
   struct Waiting {
@@ -118,7 +118,9 @@
             std::optional<CreditAnswer> answer) {
     const int target = std::stoi(to.substr(1));
     const bool to_itself = target == from;
-    if (!to_itself && (Chance() < case_.faults.lost || At(from).side != At(target).side)) return;
+    if (!to_itself &&
+        (Chance() < case_.faults.lost || At(from).partition_side != At(target).partition_side))
+      return;
     milliseconds delay(1 + Pick(5));
     if (Chance() < case_.faults.late) delay = milliseconds(Pick(3'000));
     const Message message{now_ + delay, from, target, std::move(question), std::move(answer)};
@@ -181,10 +183,10 @@
         break;
       }
       case 2:
-        for (Daemon& daemon : daemons_) daemon.side = Pick(2);
+        for (Daemon& daemon : daemons_) daemon.partition_side = Pick(2);
         break;
       case 3:
-        for (Daemon& daemon : daemons_) daemon.side = 0;
+        for (Daemon& daemon : daemons_) daemon.partition_side = 0;
         break;
       default:  // All are killed at once.
         if (Chance() < 0.2)
@@ -381,7 +383,7 @@
 }
 
 TEST_CASE(
-    "Fewer than 15% are refused below the limit while daemons freeze, restart or are partitioned") {
+    "Fewer than 15% are refused below the limit while daemons freeze, are partitioned or killed") {
   Case calm;
   calm.daemons = 7;
   calm.pools = 3;
--- a/test/tenants/key_digest_test.cc
+++ b/test/tenants/key_digest_test.cc
@@ -17,7 +17,7 @@
   CHECK(digests.size() == 10'000);
 }
 
-TEST_CASE("Keys that share a prefix have different digests") {
+TEST_CASE("Keys that share a prefix, and the empty key, have different digests") {
   CHECK(DigestOfKey("abc") != DigestOfKey("ab"));
   CHECK(DigestOfKey("") != DigestOfKey(std::string(1, '\0')));
 }
