--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -132,11 +132,11 @@
   std::int64_t granted = 0;
   while (true) {
     const auto now = BootClock::now();
-    const quota::TakeResult verdict = ledger_.Take(demand.tenant, demand.units, granted, now);
-    if (verdict.quota_status == quota::TakeStatus::kAboveCapacity)
+    const quota::TakeResult take_result = ledger_.Take(demand.tenant, demand.units, granted, now);
+    if (take_result.quota_status == quota::TakeStatus::kAboveCapacity)
       co_return Refuse(QuotaStatus::kOverCapacity, {});
-    if (verdict.quota_status != quota::TakeStatus::kInsufficient)
-      co_return QuotaDecision{QuotaStatus::kGranted, {verdict.created_at, demand.units}, {}};
+    if (take_result.quota_status != quota::TakeStatus::kInsufficient)
+      co_return QuotaDecision{QuotaStatus::kGranted, {take_result.created_at, demand.units}, {}};
     if (questions++ < kMaxQuestions && ledger_.PoolFor(demand.tenant, now)) {
       const QuestionState answered = co_await AskPool(demand, wait_until);
       granted = answered.granted ? answered.id : 0;
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -245,9 +245,9 @@
   CHECK(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK_FALSE(asker.TakeAnswer({id, 2, 890'000, {{"t", {{5, 0}}, false, 0}}}, "pool", later));
   CHECK(asker.Take("t", 1, 0, later).quota_status == TakeStatus::kInsufficient);
-  const TakeResult verdict = asker.Take("t", 5, id, later);
-  CHECK(verdict.quota_status == TakeStatus::kGranted);
-  CHECK(verdict.created_at >= later - milliseconds(60));
+  const TakeResult take_result = asker.Take("t", 5, id, later);
+  CHECK(take_result.quota_status == TakeStatus::kGranted);
+  CHECK(take_result.created_at >= later - milliseconds(60));
 }
 
 TEST_CASE("Granted credit that no request takes is deposited at the pool again") {
@@ -284,11 +284,11 @@
 TEST_CASE("Unused credit is refunded unless it has expired in the meantime") {
   CreditLedger ledger = MakeLedger("a", {MakeTenant("t", 100, 100)}, 1);
   const Time later = kNow + seconds(1);
-  const TakeResult verdict = ledger.Take("t", 100, 0, later);
-  REQUIRE(verdict.quota_status == TakeStatus::kGranted);
-  ledger.Refund("t", {verdict.created_at, 100}, later + milliseconds(100));
+  const TakeResult take_result = ledger.Take("t", 100, 0, later);
+  REQUIRE(take_result.quota_status == TakeStatus::kGranted);
+  ledger.Refund("t", {take_result.created_at, 100}, later + milliseconds(100));
   CHECK(ledger.Units("t", later + milliseconds(100)) == Approx(110));
-  ledger.Refund("t", {verdict.created_at, 100}, later + seconds(1));
+  ledger.Refund("t", {take_result.created_at, 100}, later + seconds(1));
   CHECK(ledger.Units("t", later + seconds(1)) <= 127);
 }
 
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -65,9 +65,8 @@
     const Time end = now_ + length;
     while (now_ < end) Step();
   }
-  double max_use_ratio() const {
-    return max_use_ratio_;
-  }  ///< Maximum use in a window, relative to the bound; above 1 the bound is broken.
+  /// @return Maximum use in a window, relative to the bound; above 1 the bound is broken.
+  double max_use_ratio() const { return max_use_ratio_; }
   std::uint64_t questions() const { return questions_; }
   double granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
@@ -254,11 +253,11 @@
     }
     std::erase_if(waiting_, [&](const Waiting& waiting) {
       if (!Up(waiting.number)) return waiting.deadline <= now_;
-      const TakeResult verdict =
+      const TakeResult take_result =
           At(waiting.number)
               .ledger.Take("t", case_.cost, waiting.granted ? waiting.asked_at_us : 0,
                            Clock(waiting.number));
-      const bool served = verdict.quota_status == TakeStatus::kGranted;
+      const bool served = take_result.quota_status == TakeStatus::kGranted;
       if (served) Grant();
       if (!served && waiting.deadline <= now_) ++refused_;
       return served || waiting.deadline <= now_;
@@ -359,8 +358,8 @@
     INFO("patience " << patience.count() << " ms");
     CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
     CHECK(model.max_use_ratio() <= 1);
-    CHECK(static_cast<double>(model.questions()) <=
-          model.asked() / flood.cost);  // At most one question per request.
+    // At most one question per request.
+    CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);
   }
 }
 
--- a/test/tenants/credit_sharing_planner_test.cc
+++ b/test/tenants/credit_sharing_planner_test.cc
@@ -17,61 +17,61 @@
 std::string Address(int number) { return "10.0.0." + std::to_string(number) + ":1"; }
 
 /// All of `count` daemons report at `now`.
-void ReportAll(CreditSharingPlanner& census, int count, Time now) {
+void ReportAll(CreditSharingPlanner& planner, int count, Time now) {
   for (int number = 1; number <= count; ++number)
-    census.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, now);
+    planner.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, now);
 }
 
 TEST_CASE("The first leader publishes no count before the fleet has had time to report") {
-  CreditSharingPlanner census(Address(0), 0.1);
-  ReportAll(census, 3, kStart);
-  CHECK(census.Count({}, kStart, kStart + seconds(1)).daemons == 0);
-  ReportAll(census, 83, kStart + seconds(2));
-  CHECK(census.Count({}, kStart, kStart + seconds(3)).daemons == 84);
+  CreditSharingPlanner planner(Address(0), 0.1);
+  ReportAll(planner, 3, kStart);
+  CHECK(planner.Count({}, kStart, kStart + seconds(1)).daemons == 0);
+  ReportAll(planner, 83, kStart + seconds(2));
+  CHECK(planner.Count({}, kStart, kStart + seconds(3)).daemons == 84);
 }
 
 TEST_CASE(
     "A new leader with three reports keeps its predecessor's count instead of counting three") {
-  CreditSharingPlanner census(Address(0), 0.1);
-  ReportAll(census, 3, kStart);
-  CHECK(census.Count({84, {}}, kStart, kStart + seconds(1)).daemons == 84);
+  CreditSharingPlanner planner(Address(0), 0.1);
+  ReportAll(planner, 3, kStart);
+  CHECK(planner.Count({84, {}}, kStart, kStart + seconds(1)).daemons == 84);
 }
 
 TEST_CASE("An increase in daemons counts at once, a decrease after minutes") {
-  CreditSharingPlanner census(Address(0), 0.1);
+  CreditSharingPlanner planner(Address(0), 0.1);
   const Time later = kStart + minutes(20);
-  ReportAll(census, 99, later);
-  CHECK(census.Count({84, {}}, kStart, later).daemons == 100);
-  ReportAll(census, 49, later + minutes(4));
-  CHECK(census.Count({100, {}}, kStart, later + minutes(4)).daemons == 100);
-  ReportAll(census, 49, later + minutes(6));
-  CHECK(census.Count({100, {}}, kStart, later + minutes(6)).daemons == 50);
+  ReportAll(planner, 99, later);
+  CHECK(planner.Count({84, {}}, kStart, later).daemons == 100);
+  ReportAll(planner, 49, later + minutes(4));
+  CHECK(planner.Count({100, {}}, kStart, later + minutes(4)).daemons == 100);
+  ReportAll(planner, 49, later + minutes(6));
+  CHECK(planner.Count({100, {}}, kStart, later + minutes(6)).daemons == 50);
 }
 
 TEST_CASE("The strongest daemons become pools and stay pools as long as they report") {
-  CreditSharingPlanner census(Address(0), 0.1);
+  CreditSharingPlanner planner(Address(0), 0.1);
   const Time now = kStart + minutes(1);
-  ReportAll(census, 83, now);
-  const CreditSharing first = census.Count({}, kStart, now);
+  ReportAll(planner, 83, now);
+  const CreditSharing first = planner.Count({}, kStart, now);
   REQUIRE(first.hosts.size() == 3);
   for (const std::string& host : first.hosts) CHECK(host.ends_with("0:1"));
-  census.Note("10.0.0.99:1", 8, now);
-  CHECK(census.Count(first, kStart, now).hosts == first.hosts);
+  planner.Note("10.0.0.99:1", 8, now);
+  CHECK(planner.Count(first, kStart, now).hosts == first.hosts);
   const Time later = now + seconds(4);
   for (int number = 1; number <= 83; ++number)
     if (Address(number) != first.hosts[1])
-      census.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, later);
-  const CreditSharing second = census.Count(first, kStart, later);
+      planner.Note(Address(number), number % 10 == 0 ? 0.5 : 0.1, later);
+  const CreditSharing second = planner.Count(first, kStart, later);
   REQUIRE(second.hosts.size() == 3);
   CHECK(second.hosts[0] == first.hosts[0]);
   CHECK(second.hosts[1] == first.hosts[2]);
 }
 
 TEST_CASE("A new leader keeps the pools until they have had time to report to it") {
-  CreditSharingPlanner census(Address(0), 0.1);
+  CreditSharingPlanner planner(Address(0), 0.1);
   const CreditSharing known{84, {Address(50), Address(60), Address(70)}};
-  CHECK(census.Count(known, kStart, kStart + seconds(1)).hosts == known.hosts);
-  CHECK(census.Count(known, kStart, kStart + seconds(4)).hosts ==
+  CHECK(planner.Count(known, kStart, kStart + seconds(1)).hosts == known.hosts);
+  CHECK(planner.Count(known, kStart, kStart + seconds(4)).hosts ==
         std::vector<std::string>{Address(0)});
 }
 
