--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -88,7 +88,7 @@
   std::vector<RepeatsLeft> repeats_left;
   std::int64_t peak_memory_kb = 0;
   QuarantineCounters quarantine;
-  QuotaFigures quota;
+  QuotaCounters quota;
   PermitCounters permits;
   LabelledCounter tenant_requests;         ///< By tenant, outcome and reason.
   LabelledCounter tenant_units;            ///< Units counted against limits, by tenant.
--- a/src/gateway/refusals.cc
+++ b/src/gateway/refusals.cc
@@ -20,17 +20,17 @@
 Refusal QuotaRefusal(const QuotaDecision& decision, double jitter) {
   constexpr double kJitterShare = 0.5;
   const double delay_s =
-      std::chrono::duration<double>(decision.come_back).count() * (1 + kJitterShare * jitter);
-  switch (decision.standing) {
-    case QuotaStanding::kOverAlways:
+      std::chrono::duration<double>(decision.retry_after).count() * (1 + kJitterShare * jitter);
+  switch (decision.quota_status) {
+    case QuotaStatus::kOverCapacity:
       return {http_status::kTooManyRequests, EndReason::kOverQuota,
               "the limit never allows so many units at once; ask for less in one request", false,
               0};
-    case QuotaStanding::kUnknown:
+    case QuotaStatus::kUnknown:
       return {http_status::kUnavailable, EndReason::kQuotaUnknown,
               "no daemon could tell what the limit still allows; come back", false, delay_s};
-    case QuotaStanding::kOver:
-    case QuotaStanding::kGranted:
+    case QuotaStatus::kOverLimit:
+    case QuotaStatus::kGranted:
       break;
   }
   return {http_status::kTooManyRequests, EndReason::kOverQuota,
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -272,10 +272,10 @@
                                                                            kCreditWaitTargetShare);
   const SteadyTime wait_until = std::min(request.expires_at, request.arrival + credit_wait);
   // Requests of one tenant are ordered by route priority; the tenant's own is the same for all.
-  const quota::CreditWish wish{request.tenant->name, request.units, request.route->priority,
-                               std::max(BootClock::duration{}, wait_until - BootClock::now())};
+  const quota::CreditDemand wish{request.tenant->name, request.units, request.route->priority,
+                                 std::max(BootClock::duration{}, wait_until - BootClock::now())};
   const QuotaDecision decision = co_await quota_.Acquire(wish);
-  if (decision.standing == QuotaStanding::kGranted) {
+  if (decision.quota_status == QuotaStatus::kGranted) {
     request.credit = decision.credit;
     co_return true;
   }
--- a/src/tenants/shown_key.cc
+++ b/src/tenants/presented_key.cc
@@ -1,4 +1,4 @@
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 
 #include "http/header_rules.h"
 
@@ -9,7 +9,8 @@
 constexpr std::string_view kScheme = "Bearer";
 constexpr std::string_view kBlanks = " \t";
 
-/// @return the key, or an empty text where there is none or more than one word.
+/// @return The key, or an empty string if there is none or if more than one word follows the
+/// scheme.
 std::string_view KeyIn(std::string_view credentials) {
   const std::size_t scheme_end = credentials.find_first_of(kBlanks);
   if (scheme_end == std::string_view::npos) return {};
@@ -23,16 +24,16 @@
 
 }  // namespace
 
-ShownKey ReadShownKey(const HttpHeaders& headers) {
-  ShownKey shown;
+PresentedKey ParsePresentedKey(const HttpHeaders& headers) {
+  PresentedKey presented;
   for (const HttpHeader& header : headers) {
     if (!EqualHeaderNames(header.name, kAuthorizationHeader)) continue;
-    if (shown.state != KeyState::kNone) return {KeyState::kUnreadable, {}};
+    if (presented.state != KeyState::kNone) return {KeyState::kUnreadable, {}};
     const std::string_view key = KeyIn(header.value);
     if (key.empty()) return {KeyState::kUnreadable, {}};
-    shown = {KeyState::kOne, DigestOfKey(key)};
+    presented = {KeyState::kOne, DigestOfKey(key)};
   }
-  return shown;
+  return presented;
 }
 
 }  // namespace moorfold
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -11,28 +11,29 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Between two daemons an answer takes some milliseconds, and up to a tenth of a second where one
-/// of them has spent its processor time.
+/// Timeout for an answer. It takes some milliseconds between two daemons, and up to a tenth of a
+/// second if one of them has exhausted its processor time.
 constexpr milliseconds kAnswerTimeout{120};
-/// The first question may be lost; after another the pool is taken for silent.
-constexpr int kMostQuestions = 3;
-/// Between two looks for a pool while there is none.
-constexpr milliseconds kPoolPause{50};
-/// How long credit that was taken is held for the request while it finds its server, even when it
-/// dies meanwhile. Added to a credit's life where the sums of the promise are made.
-constexpr milliseconds kHeldFor{250};
-/// Least time to come back after: pools get what others have left some times a second.
-constexpr milliseconds kLeastWait{50};
-/// While requests wait at this pool: how often what was made here meanwhile is given out. What
-/// other daemons give is given on when it comes.
-constexpr milliseconds kServeEvery{25};
+/// Maximum questions per request before it pauses. The first question may be lost; after a second
+/// one without an answer the pool counts as silent.
+constexpr int kMaxQuestions = 3;
+/// Interval at which a request looks for a pool while none is available.
+constexpr milliseconds kPoolRetryInterval{50};
+/// How long taken credit stays valid for a request that is selecting a server, even if it expires
+/// in the meantime. The bound on use adds this time to the credit lifetime.
+constexpr milliseconds kHeldCreditGrace{250};
+/// Minimum retry delay: pools receive surplus credit some times a second.
+constexpr milliseconds kMinRetryAfter{50};
+/// While requests are queued at this pool: the interval at which newly accrued credit is granted.
+/// Deposits from other daemons are granted on arrival.
+constexpr milliseconds kServeInterval{25};
 
 }  // namespace
 
 QuotaService::QuotaService(boost::asio::io_context& context, quota::Settings settings,
-                           std::string self, QuotaFigures& figures, Ports ports)
+                           std::string self, QuotaCounters& counters, Ports ports)
     : ledger_(settings, std::move(self)),
-      figures_(figures),
+      counters_(counters),
       ports_(std::move(ports)),
       answered_(context.get_executor()),
       work_(context.get_executor()),
@@ -49,7 +50,7 @@
     const auto now = BootClock::now();
     SendAnswers(ledger_.Serve(now));
     for (const quota::AddressedQuestion& due : ledger_.Tick(now)) SendQuestion(due);
-    const quota::Time serve_again = now + kServeEvery;
+    const quota::Time serve_again = now + kServeInterval;
     const quota::Time next = ledger_.NextTick();
     co_await work_.Wait(ledger_.Queued() ? std::min(next, serve_again) : next);
   }
@@ -85,72 +86,74 @@
 }
 
 bool QuotaService::Alive(const std::string& tenant, const quota::Credit& credit) const {
-  return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldFor;
+  return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldCreditGrace;
 }
 
-QuotaDecision QuotaService::Refuse(QuotaStanding standing, BootClock::duration come_back) {
-  ++(standing == QuotaStanding::kUnknown ? figures_.refused_unknown : figures_.refused_over);
-  return {standing, {}, std::chrono::ceil<milliseconds>(come_back)};
+QuotaDecision QuotaService::Refuse(QuotaStatus quota_status, BootClock::duration retry_after) {
+  ++(quota_status == QuotaStatus::kUnknown ? counters_.refused_unknown
+                                           : counters_.refused_over_limit);
+  return {quota_status, {}, std::chrono::ceil<milliseconds>(retry_after)};
 }
 
-BootClock::duration QuotaService::KnownShortage(const quota::CreditWish& wish) const {
-  const auto known = shortages_.find(wish.tenant);
+BootClock::duration QuotaService::KnownShortage(const quota::CreditDemand& demand) const {
+  const auto known = shortages_.find(demand.tenant);
   if (known == shortages_.end()) return {};
-  if (wish.units < known->second.units || wish.urgency < known->second.urgency) return {};
+  if (demand.units < known->second.units || demand.urgency < known->second.urgency) return {};
   return std::max(BootClock::duration{}, known->second.until - BootClock::now());
 }
 
-Awaitable<QuotaService::Answered> QuotaService::AskPool(quota::CreditWish wish,
-                                                        quota::Time wait_until) {
+Awaitable<QuotaService::QuestionState> QuotaService::AskPool(quota::CreditDemand demand,
+                                                             quota::Time wait_until) {
   const auto now = BootClock::now();
-  wish.patience = std::max(BootClock::duration{}, wait_until - now);
-  const quota::AddressedQuestion asked = ledger_.Ask(wish, now);
+  demand.patience = std::max(BootClock::duration{}, wait_until - now);
+  const quota::AddressedQuestion asked = ledger_.Ask(demand, now);
   const std::int64_t id = asked.question.asked_at_us;
   open_[id].id = id;
-  ++figures_.asked;
+  ++counters_.asked;
   SendQuestion(asked);
   const quota::Time silent = now + kAnswerTimeout;
-  while (!open_[id].came && BootClock::now() < silent) co_await answered_.Wait(silent);
+  while (!open_[id].received && BootClock::now() < silent) co_await answered_.Wait(silent);
   while (open_[id].queued && !open_[id].granted && BootClock::now() < wait_until)
     co_await answered_.Wait(wait_until);
-  const Answered answered = open_[id];
+  const QuestionState answered = open_[id];
   open_.erase(id);
-  if (!answered.came) ++figures_.unanswered;
+  if (!answered.received) ++counters_.unanswered;
   co_return answered;
 }
 
-Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditWish& wish) {
-  const quota::Time wait_until = BootClock::now() + wish.patience;
-  // Told at once, without a question, what the last refusal has shown.
-  const BootClock::duration known = KnownShortage(wish);
+Awaitable<QuotaDecision> QuotaService::Acquire(const quota::CreditDemand& demand) {
+  const quota::Time wait_until = BootClock::now() + demand.patience;
+  // Refuses at once, without asking the pool, if the last refusal shows that the credit will not be
+  // available in time.
+  const BootClock::duration known = KnownShortage(demand);
   if (BootClock::now() + known > wait_until && known > BootClock::duration{})
-    co_return Refuse(QuotaStanding::kOver, known);
+    co_return Refuse(QuotaStatus::kOverLimit, known);
   int questions = 0;
   std::int64_t granted = 0;
   while (true) {
     const auto now = BootClock::now();
-    const quota::Verdict verdict = ledger_.Take(wish.tenant, wish.units, granted, now);
-    if (verdict.standing == quota::Standing::kNever)
-      co_return Refuse(QuotaStanding::kOverAlways, {});
-    if (verdict.standing != quota::Standing::kShort)
-      co_return QuotaDecision{QuotaStanding::kGranted, {verdict.created_at, wish.units}, {}};
-    if (questions++ < kMostQuestions && ledger_.Pool(wish.tenant, now)) {
-      const Answered answered = co_await AskPool(wish, wait_until);
+    const quota::TakeResult take_result = ledger_.Take(demand.tenant, demand.units, granted, now);
+    if (take_result.quota_status == quota::TakeStatus::kAboveCapacity)
+      co_return Refuse(QuotaStatus::kOverCapacity, {});
+    if (take_result.quota_status != quota::TakeStatus::kInsufficient)
+      co_return QuotaDecision{QuotaStatus::kGranted, {take_result.created_at, demand.units}, {}};
+    if (questions++ < kMaxQuestions && ledger_.PoolFor(demand.tenant, now)) {
+      const QuestionState answered = co_await AskPool(demand, wait_until);
       granted = answered.granted ? answered.id : 0;
-      if (answered.granted || !answered.came) continue;
-      const auto come_back = std::max<BootClock::duration>(answered.available_in, kLeastWait);
-      shortages_[wish.tenant] = {wish.units, wish.urgency, BootClock::now() + come_back};
-      co_return Refuse(QuotaStanding::kOver, come_back);
+      if (answered.granted || !answered.received) continue;
+      const auto retry_after = std::max<BootClock::duration>(answered.available_in, kMinRetryAfter);
+      shortages_[demand.tenant] = {demand.units, demand.urgency, BootClock::now() + retry_after};
+      co_return Refuse(QuotaStatus::kOverLimit, retry_after);
     }
-    if (BootClock::now() + kPoolPause > wait_until)
-      co_return Refuse(QuotaStanding::kUnknown, milliseconds(kAnswerTimeout) * kMostQuestions);
-    co_await Sleep(kPoolPause);
+    if (BootClock::now() + kPoolRetryInterval > wait_until)
+      co_return Refuse(QuotaStatus::kUnknown, milliseconds(kAnswerTimeout) * kMaxQuestions);
+    co_await Sleep(kPoolRetryInterval);
     questions = 0;
   }
 }
 
 void QuotaService::Hear(const CreditQuestion& question, const std::string& from) {
-  ++figures_.answered;
+  ++counters_.answered;
   const bool queued = ledger_.Queued();
   SendAnswers(ledger_.Answer(question, from, BootClock::now()));
   if (!queued && ledger_.Queued()) work_.NotifyAll();
@@ -158,12 +161,12 @@
 
 void QuotaService::Hear(const CreditAnswer& answer, const std::string& from) {
   if (!ledger_.TakeAnswer(answer, from, BootClock::now())) {
-    ++figures_.dropped;
+    ++counters_.dropped;
     return;
   }
   const auto open = open_.find(answer.asked_at_us);
   if (open == open_.end()) return;
-  open->second.came = true;
+  open->second.received = true;
   for (const CreditGrant& grant : answer.grants) {
     open->second.queued = grant.queued;
     open->second.granted = !grant.parts.empty();
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -1,7 +1,7 @@
-// Limits of tenants over a fleet that loses, delays and repeats messages, freezes, cuts, kills and
-// grows. The shipped ledger runs at each daemon; the model carries messages and judges: in no
-// window may a tenant use more than what is promised. Planted faults show that the judge would see
-// it.
+// Model test for tenant limits over a fleet with lost, delayed and repeated messages and with
+// frozen, partitioned, killed and restarted daemons. Each daemon runs the production ledger; the
+// model carries the messages and checks that no window exceeds the bound on a tenant's use.
+// Injected bugs show that the check detects violations.
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -17,17 +17,17 @@
 
 constexpr milliseconds kStep{10};
 constexpr milliseconds kAnswerTimeout{100};
-/// Traffic starts when the first credit has reached the pools.
+/// Traffic starts after the first credit has reached the pools.
 constexpr seconds kWarmUp{4};
 
-/// A rule of the ledger that is left out, to see the judge find it.
-enum class Planted { kNone, kTakenTwice, kKeptWhenSent, kCountBehind };
+/// A rule of the ledger that is broken on purpose, to prove that the check detects it.
+enum class InjectedBug { kNone, kTakenTwice, kKeptWhenSent, kStaleDaemonCount };
 
 struct Faults {
   double lost = 0;
-  double late = 0;      ///< Share of messages that come up to 3 s late.
-  double repeated = 0;  ///< Share of messages that come twice.
-  bool stops = false;   ///< Daemons freeze, restart, are cut off from each other.
+  double late = 0;      ///< Share of messages delayed by up to 3 s.
+  double repeated = 0;  ///< Share of messages delivered twice.
+  bool stops = false;   ///< Daemons freeze, restart and are partitioned.
 };
 
 struct Case {
@@ -36,12 +36,12 @@
   double rate = 100;
   double burst = 100;
   double cost = 1;    ///< Of each request.
-  double wanted = 1;  ///< Units asked for, as a share of the limit's rate.
-  double skew = 0;    ///< Share of the requests that come at the first daemon.
+  double wanted = 1;  ///< Requested units, as a share of the limit's rate.
+  double skew = 0;    ///< Share of the requests that arrive at the first daemon.
   double slack = 0;
-  milliseconds patience{0};  ///< Of each request, with a pool that has not enough.
+  milliseconds patience{0};  ///< Of each request, at a pool without enough credit.
   Faults faults;
-  Planted planted = Planted::kNone;
+  InjectedBug injected_bug = InjectedBug::kNone;
 };
 
 class Model {
@@ -56,7 +56,8 @@
       sharing_.daemons = static_cast<std::uint32_t>(case_.daemons);
       if (number < case_.pools) sharing_.hosts.push_back(Name(number));
     }
-    if (case_.planted == Planted::kCountBehind) sharing_.daemons = std::max(1, case_.daemons / 2);
+    if (case_.injected_bug == InjectedBug::kStaleDaemonCount)
+      sharing_.daemons = std::max(1, case_.daemons / 2);
     for (int number = 0; number < case_.daemons; ++number) daemons_.push_back(Start(number));
   }
 
@@ -64,7 +65,8 @@
     const Time end = now_ + length;
     while (now_ < end) Step();
   }
-  double most_over() const { return most_over_; }  ///< Of what is promised; above 1 it is broken.
+  /// @return Maximum use in a window, relative to the bound; above 1 the bound is broken.
+  double max_use_ratio() const { return max_use_ratio_; }
   std::uint64_t questions() const { return questions_; }
   double granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
@@ -75,12 +77,12 @@
     CreditLedger ledger;
     Time frozen_until{};
     Time down_until{};
-    int side = 0;  ///< Of a cut: only daemons of one side hear each other.
+    int partition_side = 0;  ///< Side of a partition: only daemons of one side reach each other.
     std::int64_t clock_ahead_us = 0;
   };
   struct Waiting {
     int number = 0;
-    Time give_up{};
+    Time deadline{};
     std::int64_t asked_at_us = 0;
     bool granted = false;
   };
@@ -95,7 +97,7 @@
   static std::string Name(int number) { return "d" + std::to_string(number); }
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   int Pick(int below) { return std::uniform_int_distribution<>(0, below - 1)(random_); }
-  /// Each daemon has a clock of its own.
+  /// Each daemon has its own clock offset.
   Time Clock(int number) const {
     return now_ +
            std::chrono::microseconds(daemons_[static_cast<std::size_t>(number)].clock_ahead_us);
@@ -115,7 +117,9 @@
             std::optional<CreditAnswer> answer) {
     const int target = std::stoi(to.substr(1));
     const bool to_itself = target == from;
-    if (!to_itself && (Chance() < case_.faults.lost || At(from).side != At(target).side)) return;
+    if (!to_itself &&
+        (Chance() < case_.faults.lost || At(from).partition_side != At(target).partition_side))
+      return;
     milliseconds delay(1 + Pick(5));
     if (Chance() < case_.faults.late) delay = milliseconds(Pick(3'000));
     const Message message{now_ + delay, from, target, std::move(question), std::move(answer)};
@@ -129,7 +133,7 @@
   void SendAnswers(int from, std::vector<AddressedAnswer> answers) {
     const Time own = Clock(from);
     for (AddressedAnswer& each : answers) {
-      if (case_.planted == Planted::kKeptWhenSent)
+      if (case_.injected_bug == InjectedBug::kKeptWhenSent)
         for (const CreditGrant& grant : each.answer.grants)
           for (const CreditPart& part : grant.parts)
             At(from).ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
@@ -141,7 +145,7 @@
   void Deliver() {
     std::deque<Message> due;
     std::erase_if(messages_, [&](const Message& message) {
-      // What reaches a frozen daemon waits in its socket.
+      // Messages to a frozen daemon wait in its socket.
       const bool here = message.arrives <= now_ && At(message.to).frozen_until <= now_;
       if (here) due.push_back(message);
       return here;
@@ -155,7 +159,7 @@
       } else {
         const bool taken = daemon.ledger.TakeAnswer(*message.answer, Name(message.from), own);
         if (taken) NoteAnswer(message.to, *message.answer);
-        if (taken && case_.planted == Planted::kTakenTwice)
+        if (taken && case_.injected_bug == InjectedBug::kTakenTwice)
           for (const CreditGrant& grant : message.answer->grants)
             for (const CreditPart& part : grant.parts)
               daemon.ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
@@ -164,7 +168,7 @@
     }
   }
 
-  void Trouble() {
+  void InjectFault() {
     if (!case_.faults.stops || Chance() > 0.02) return;
     const int number = Pick(case_.daemons);
     switch (Pick(5)) {
@@ -178,10 +182,10 @@
         break;
       }
       case 2:
-        for (Daemon& daemon : daemons_) daemon.side = Pick(2);
+        for (Daemon& daemon : daemons_) daemon.partition_side = Pick(2);
         break;
       case 3:
-        for (Daemon& daemon : daemons_) daemon.side = 0;
+        for (Daemon& daemon : daemons_) daemon.partition_side = 0;
         break;
       default:  // All are killed at once.
         if (Chance() < 0.2)
@@ -197,28 +201,28 @@
     asked_ += case_.cost;
     Daemon& daemon = At(number);
     const Time own = Clock(number);
-    if (daemon.ledger.Take("t", case_.cost, 0, own).standing == Standing::kGranted) {
+    if (daemon.ledger.Take("t", case_.cost, 0, own).quota_status == TakeStatus::kGranted) {
       Grant();
       return;
     }
-    if (!daemon.ledger.Pool("t", own)) {
+    if (!daemon.ledger.PoolFor("t", own)) {
       ++refused_;
       return;
     }
     const AddressedQuestion asked = daemon.ledger.Ask({"t", case_.cost, 0, case_.patience}, own);
-    const Time give_up = now_ + std::max<BootClock::duration>(case_.patience, kAnswerTimeout);
-    waiting_.push_back({number, give_up, asked.question.asked_at_us, false});
+    const Time deadline = now_ + std::max<BootClock::duration>(case_.patience, kAnswerTimeout);
+    waiting_.push_back({number, deadline, asked.question.asked_at_us, false});
     ++questions_;
     Send(number, asked.host, asked.question, std::nullopt);
   }
 
-  /// What a pool has said of a request that waits.
+  /// Records a pool's answer to a waiting request.
   void NoteAnswer(int number, const CreditAnswer& answer) {
     for (Waiting& waiting : waiting_) {
       if (waiting.number != number || waiting.asked_at_us != answer.asked_at_us) continue;
       for (const CreditGrant& grant : answer.grants) {
         waiting.granted = !grant.parts.empty();
-        if (grant.parts.empty() && !grant.queued) waiting.give_up = now_;
+        if (grant.parts.empty() && !grant.queued) waiting.deadline = now_;
       }
     }
   }
@@ -234,12 +238,12 @@
     const double window_s = std::chrono::duration<double>(settings_.window).count();
     const double promised =
         (case_.rate * window_s + case_.burst) * (1 + settings_.overshoot) + settings_.slack;
-    most_over_ = std::max(most_over_, in_window_ / promised);
+    max_use_ratio_ = std::max(max_use_ratio_, in_window_ / promised);
   }
 
   void Step() {
     now_ += kStep;
-    Trouble();
+    InjectFault();
     Deliver();
     for (int number = 0; number < case_.daemons; ++number) {
       if (!Up(number)) continue;
@@ -248,15 +252,15 @@
         Send(number, due.host, std::move(due.question), std::nullopt);
     }
     std::erase_if(waiting_, [&](const Waiting& waiting) {
-      if (!Up(waiting.number)) return waiting.give_up <= now_;
-      const Verdict verdict =
+      if (!Up(waiting.number)) return waiting.deadline <= now_;
+      const TakeResult take_result =
           At(waiting.number)
               .ledger.Take("t", case_.cost, waiting.granted ? waiting.asked_at_us : 0,
                            Clock(waiting.number));
-      const bool served = verdict.standing == Standing::kGranted;
+      const bool served = take_result.quota_status == TakeStatus::kGranted;
       if (served) Grant();
-      if (!served && waiting.give_up <= now_) ++refused_;
-      return served || waiting.give_up <= now_;
+      if (!served && waiting.deadline <= now_) ++refused_;
+      return served || waiting.deadline <= now_;
     });
     const bool warm = now_ - start_ > kWarmUp;
     if (warm)
@@ -279,7 +283,7 @@
   std::uint64_t questions_ = 0;
   std::deque<std::pair<Time, double>> used_;
   double in_window_ = 0;
-  double most_over_ = 0;
+  double max_use_ratio_ = 0;
   double granted_ = 0;
   double asked_ = 0;
   double due_ = 0;
@@ -288,19 +292,19 @@
   Time now_ = start_;
 };
 
-double MostOver(const Case& wanted, std::uint32_t seeds, seconds length) {
+double MaxUseRatio(const Case& wanted, std::uint32_t seeds, seconds length) {
   double most = 0;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
     Model model(wanted, seed);
     model.Run(length);
-    most = std::max(most, model.most_over());
+    most = std::max(most, model.max_use_ratio());
   }
   return most;
 }
 
 const Faults kAllFaults{0.1, 0.1, 0.1, true};
 
-TEST_CASE("No schedule of faults lets a flood over its tenant's limit") {
+TEST_CASE("No schedule of faults lets a flood exceed its tenant's limit") {
   for (const int daemons : {2, 3, 7, 30}) {
     Case flood;
     flood.daemons = daemons;
@@ -308,13 +312,13 @@
     flood.wanted = 8;
     flood.faults = kAllFaults;
     INFO(daemons << " daemons");
-    CHECK(MostOver(flood, 20, seconds(60)) <= 1);
+    CHECK(MaxUseRatio(flood, 20, seconds(60)) <= 1);
     flood.skew = 0.9;
-    CHECK(MostOver(flood, 10, seconds(60)) <= 1);
+    CHECK(MaxUseRatio(flood, 10, seconds(60)) <= 1);
   }
 }
 
-TEST_CASE("Large requests of a small tenant before a large fleet stay within its limit") {
+TEST_CASE("Large requests of a small tenant on a large fleet stay within its limit") {
   Case small;
   small.daemons = 84;
   small.pools = 3;
@@ -324,10 +328,10 @@
   small.cost = 9'200;
   small.wanted = 6;
   small.faults = kAllFaults;
-  CHECK(MostOver(small, 6, seconds(60)) <= 1);
+  CHECK(MaxUseRatio(small, 6, seconds(60)) <= 1);
 }
 
-TEST_CASE("A flood gets what its limit allows, and not much less") {
+TEST_CASE("A flood is granted at least 95% of its tenant's limit") {
   Case flood;
   flood.daemons = 20;
   flood.pools = 3;
@@ -338,7 +342,7 @@
 }
 
 TEST_CASE(
-    "A flood of requests larger than what a daemon makes in a credit's life gets its limit too") {
+    "A flood of requests above one daemon's accrual per credit lifetime still gets its limit") {
   Case flood;
   flood.daemons = 84;
   flood.pools = 3;
@@ -353,12 +357,13 @@
     model.Run(seconds(60));
     INFO("patience " << patience.count() << " ms");
     CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
-    CHECK(model.most_over() <= 1);
-    CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);  // Each asks once.
+    CHECK(model.max_use_ratio() <= 1);
+    // At most one question per request.
+    CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);
   }
 }
 
-TEST_CASE("Below its limit a tenant is refused nothing, however unevenly its requests come") {
+TEST_CASE("At most 1% is refused below the limit, however unevenly requests are spread") {
   for (const double skew : {0.0, 0.9}) {
     Case calm;
     calm.daemons = 84;
@@ -376,7 +381,8 @@
   }
 }
 
-TEST_CASE("While daemons freeze, are cut off and killed, most below the limit are still served") {
+TEST_CASE(
+    "Fewer than 15% are refused below the limit while daemons freeze, are partitioned or killed") {
   Case calm;
   calm.daemons = 7;
   calm.pools = 3;
@@ -394,20 +400,20 @@
   CHECK(refused < 0.15 * asked);
 }
 
-TEST_CASE("The judge sees each rule of the ledger that is left out") {
+TEST_CASE("The check detects each injected bug in the ledger") {
   Case flood;
   flood.daemons = 20;
   flood.pools = 1;
   flood.rate = 1'000;
   flood.burst = 1'000;
-  flood.cost = 60;  // More than one daemon makes in a life: pools are needed.
+  flood.cost = 60;  // Above one daemon's accrual per lifetime, so pools are needed.
   flood.wanted = 8;
-  CHECK(MostOver(flood, 4, seconds(60)) <= 1);
-  for (const Planted planted :
-       {Planted::kTakenTwice, Planted::kKeptWhenSent, Planted::kCountBehind}) {
-    flood.planted = planted;
-    INFO("planted " << static_cast<int>(planted));
-    CHECK(MostOver(flood, 4, seconds(60)) > 1);
+  CHECK(MaxUseRatio(flood, 4, seconds(60)) <= 1);
+  for (const InjectedBug injected_bug :
+       {InjectedBug::kTakenTwice, InjectedBug::kKeptWhenSent, InjectedBug::kStaleDaemonCount}) {
+    flood.injected_bug = injected_bug;
+    INFO("injected bug " << static_cast<int>(injected_bug));
+    CHECK(MaxUseRatio(flood, 4, seconds(60)) > 1);
   }
 }
 
--- a/test/tenants/shown_key_test.cc
+++ b/test/tenants/presented_key_test.cc
@@ -1,13 +1,13 @@
-// What is read as a caller's key, and what is not.
+// Tests for reading the caller's key from the Authorization header.
 
-#include "tenants/shown_key.h"
+#include "tenants/presented_key.h"
 
 #include <catch2/catch.hpp>
 
 namespace moorfold {
 namespace {
 
-TEST_CASE("A key is read from one Authorization header of the scheme Bearer") {
+TEST_CASE("A key is read only from a single Authorization header with the Bearer scheme") {
   struct Case {
     HttpHeaders headers;
     KeyState state;
@@ -29,9 +29,9 @@
       {{{"Authorization", "Bearer k"}, {"authorization", "Bearer k"}}, KeyState::kUnreadable}};
   for (const Case& each : cases) {
     INFO((each.headers.empty() ? "none" : each.headers.front().value));
-    const ShownKey shown = ReadShownKey(each.headers);
-    CHECK(shown.state == each.state);
-    if (each.state == KeyState::kOne) CHECK(shown.digest == DigestOfKey("k"));
+    const PresentedKey presented = ParsePresentedKey(each.headers);
+    CHECK(presented.state == each.state);
+    if (each.state == KeyState::kOne) CHECK(presented.digest == DigestOfKey("k"));
   }
 }
 
--- a/test/tenants/token_usage_test.cc
+++ b/test/tenants/token_usage_test.cc
@@ -1,4 +1,4 @@
-// What a request counts against its tenant's limit.
+// Tests for the cost of a request against its tenant's limit.
 
 #include "tenants/token_usage.h"
 
@@ -9,7 +9,7 @@
 
 constexpr const char* kTokens = "X-Tokens";
 
-TEST_CASE("Tokens are stated as two whole numbers, and nothing else is counted") {
+TEST_CASE("Only two whole numbers are accepted as a token count") {
   struct Case {
     const char* stated;
     std::optional<double> sum;
@@ -37,14 +37,14 @@
   }
 }
 
-TEST_CASE("A request counts one, its stated tokens, or what plain requests count") {
+TEST_CASE("A request costs one unit, its stated tokens, or the default token count") {
   const QuotaLimit requests{QuotaUnit::kRequests, 10, 0, 0};
   const QuotaLimit tokens{QuotaUnit::kTokens, 10, 0, 200};
-  CHECK(UnitsOf(requests, {{kTokens, "no number"}}, kTokens) == 1.0);
-  CHECK(UnitsOf(tokens, {}, kTokens) == 200.0);
-  CHECK(UnitsOf(tokens, {{"x-tokens", "7,3"}}, kTokens) == 10.0);
-  CHECK(UnitsOf(tokens, {{kTokens, "seven"}}, kTokens) == std::nullopt);
-  CHECK(UnitsOf(tokens, {{kTokens, "7,3"}, {"x-tokens", "1,1"}}, kTokens) == std::nullopt);
+  CHECK(CountQuotaUnits(requests, {{kTokens, "no number"}}, kTokens) == 1.0);
+  CHECK(CountQuotaUnits(tokens, {}, kTokens) == 200.0);
+  CHECK(CountQuotaUnits(tokens, {{"x-tokens", "7,3"}}, kTokens) == 10.0);
+  CHECK(CountQuotaUnits(tokens, {{kTokens, "seven"}}, kTokens) == std::nullopt);
+  CHECK(CountQuotaUnits(tokens, {{kTokens, "7,3"}, {"x-tokens", "1,1"}}, kTokens) == std::nullopt);
 }
 
 }  // namespace
