--- a/test/platform/store_client_test.cc
+++ b/test/platform/store_client_test.cc
@@ -33,7 +33,7 @@
   options.watch_wait = milliseconds(100);
   options.progress_timeout = milliseconds(200);
   options.longest_answer = milliseconds(800);
-  options.most_answer_bytes = 64 * 1024;
+  options.max_answer_bytes = 64 * 1024;
   return options;
 }
 
--- a/test/platform/store_era_test.cc
+++ b/test/platform/store_era_test.cc
@@ -15,46 +15,46 @@
 namespace {
 
 using platform::StoreEra;
-using platform::StoreEraNews;
+using platform::StoreEraEvent;
 using std::chrono::milliseconds;
 
 struct EraFixture {
-  std::vector<StoreEraNews::Kind> news;
-  StoreEra era{[this](const StoreEraNews& each) { news.push_back(each.kind); }};
+  std::vector<StoreEraEvent::Kind> news;
+  StoreEra era{[this](const StoreEraEvent& each) { news.push_back(each.kind); }};
 };
 
 TEST_CASE("Eras rise, and what is of an earlier one is refused and told once") {
   EraFixture fixture;
-  CHECK(fixture.era.Take("1") == 1);
-  CHECK(fixture.era.Take("1") == 1);
-  CHECK(fixture.era.Take("4") == 4);
-  CHECK(fixture.era.IsOver(3));
-  CHECK_FALSE(fixture.era.IsOver(4));
-  for (int answer = 0; answer < 3; ++answer) CHECK(fixture.era.Take("1") == std::nullopt);
+  CHECK(fixture.era.Observe("1") == 1);
+  CHECK(fixture.era.Observe("1") == 1);
+  CHECK(fixture.era.Observe("4") == 4);
+  CHECK(fixture.era.IsSuperseded(3));
+  CHECK_FALSE(fixture.era.IsSuperseded(4));
+  for (int answer = 0; answer < 3; ++answer) CHECK(fixture.era.Observe("1") == std::nullopt);
   CHECK(fixture.era.newest() == 4);
-  using Kind = StoreEraNews::Kind;
-  CHECK(fixture.news == std::vector<Kind>{Kind::kBegan, Kind::kBegan, Kind::kEarlier});
+  using Kind = StoreEraEvent::Kind;
+  CHECK(fixture.news == std::vector<Kind>{Kind::kAdvanced, Kind::kAdvanced, Kind::kRegressed});
 }
 
 TEST_CASE("A store that tells no era is in era 0, and one that begins to tell is in a later one") {
   EraFixture fixture;
-  CHECK(fixture.era.Take("") == 0);
-  CHECK(fixture.era.Take("") == 0);
+  CHECK(fixture.era.Observe("") == 0);
+  CHECK(fixture.era.Observe("") == 0);
   CHECK(fixture.news.size() == 1);
-  CHECK(fixture.era.Take("2") == 2);
-  CHECK(fixture.era.IsOver(0));
-  CHECK(fixture.era.Take("") == std::nullopt);  // Of which era it is cannot be told.
+  CHECK(fixture.era.Observe("2") == 2);
+  CHECK(fixture.era.IsSuperseded(0));
+  CHECK(fixture.era.Observe("") == std::nullopt);  // Of which era it is cannot be told.
 }
 
 TEST_CASE("An era that is no whole number makes an answer unusable once eras are told") {
   for (const char* text : {"x", "-1", "1.5", "99999999999999999999", "3 ", "3,4"}) {
     CAPTURE(text);
     EraFixture fixture;
-    CHECK(fixture.era.Take("3") == 3);
-    CHECK(fixture.era.Take(text) == std::nullopt);
-    CHECK(fixture.era.Take(text) == std::nullopt);
+    CHECK(fixture.era.Observe("3") == 3);
+    CHECK(fixture.era.Observe(text) == std::nullopt);
+    CHECK(fixture.era.Observe(text) == std::nullopt);
     CHECK(fixture.news.size() == 2);
-    CHECK(fixture.era.Take("3") == 3);
+    CHECK(fixture.era.Observe("3") == 3);
   }
 }
 
