--- a/test/platform/decoder_fuzz_test.cc
+++ b/test/platform/decoder_fuzz_test.cc
@@ -1,6 +1,6 @@
-// Every decoder of what stands in the platform's store or comes from a server or a daemon, fed with
-// mutations of what is right: bytes, types, numbers beyond their range, depth. Each either reads
-// the text or throws std::exception; the sanitizers see to the rest. Seeded.
+// Fuzzes every decoder of store values and of messages from servers and daemons with mutations of
+// valid input: bytes, types, out-of-range numbers, nesting depth. Each must decode the text or
+// throw std::exception; the sanitizers detect memory errors and undefined behaviour. Seeded.
 
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
@@ -54,7 +54,7 @@
         return ReplaceValue(std::move(text), kPieces[static_cast<std::size_t>(Draw(8))]);
     }
   }
-  /// Puts another value after some colon: the text stays JSON more often than not.
+  /// Replaces the value after a random colon, which mostly keeps the text valid JSON.
   std::string ReplaceValue(std::string text, const std::string& value) {
     const std::size_t colon = text.find(':', Place(text));
     if (colon == std::string::npos) return text;
@@ -111,7 +111,7 @@
   };
 }
 
-TEST_CASE("A decoder reads what it is given, or says that it cannot") {
+TEST_CASE("A decoder either accepts mutated input or throws std::exception") {
   Mutator mutator(kSeed);
   for (const Decoder& each : Decoders()) {
     INFO(each.name);
@@ -132,11 +132,11 @@
   }
 }
 
-TEST_CASE("The fuzz finds a decoder that believes a number beyond its range") {
-  // A planted fault: it takes what it is told for a length.
+TEST_CASE("The fuzzer detects a decoder that accepts an out-of-range number") {
+  // Deliberate fault: throws something other than std::exception for a large number.
   const auto planted = [](const std::string& text) {
     const boost::json::value value = boost::json::parse(text);
-    if (value.at("seq").to_number<double>() > 1e9) throw 7;  // No std::exception.
+    if (value.at("seq").to_number<double>() > 1e9) throw 7;  // Not a std::exception.
   };
   Mutator mutator(kSeed);
   bool found = false;
--- a/test/platform/gateway_end_to_end_test.cc
+++ b/test/platform/gateway_end_to_end_test.cc
@@ -1,4 +1,4 @@
-// Whole gateways against the emulated platform, over loopback, on one thread.
+// Runs complete gateways against the emulated platform, over loopback, on one thread.
 
 #include "gateway_deployment.h"
 
@@ -7,10 +7,10 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("A model that stands nowhere is loaded once for requests at two gateways") {
+TEST_CASE("A model without a copy is loaded once for requests at two gateways") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady() && deployment.Leaders() == 1; }));
-  deployment.RunFor(milliseconds(3'200));  // Until the leader may give orders.
+  deployment.RunFor(milliseconds(3'200));  // Until the leader may issue orders.
   const std::string cold = deployment.platform.models().back();
   CHECK(deployment.Send(0, deployment.Stream("one", cold)).status == 200);
   CHECK(deployment.Send(1, deployment.Stream("two", cold)).status == 200);
@@ -22,7 +22,7 @@
   CHECK(deployment.platform.checker().violations().empty());
 }
 
-TEST_CASE("A server that starts again under its id in the middle of a load is ordered anew soon") {
+TEST_CASE("A server that restarts under the same id during a load gets a new order promptly") {
   PlatformOptions options;
   options.same_id = true;
   options.restart_after = milliseconds(300);
@@ -31,7 +31,7 @@
   options.load_time = milliseconds(1'500);
   Deployment deployment(1, options);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady() && deployment.Leaders() == 1; }));
-  deployment.RunFor(milliseconds(3'200));  // Until the leader may give orders.
+  deployment.RunFor(milliseconds(3'200));  // Until the leader may issue orders.
   BootClock::time_point ended{};
   BootTimer timer(deployment.context, BootClock::now() + milliseconds(600));
   timer.async_wait([&](const boost::system::error_code&) {
@@ -47,12 +47,13 @@
   }
   CHECK(served);
   REQUIRE(ended != BootClock::time_point{});
-  // The start, the entry, a load of 1.5 s; the load of the life before is not waited for.
+  // Covers the restart, the registration and a load of 1.5 s. The order of the previous incarnation
+  // must not delay it.
   CHECK(BootClock::now() - ended < milliseconds(6'000));
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("Every kind of request is served on a calm day, and no promise is broken") {
+TEST_CASE("Every kind of request is served without faults, and no invariant is violated") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.clients->Start(6);
@@ -64,7 +65,8 @@
   CHECK(deployment.clients->counts().unknown == 0);
 }
 
-TEST_CASE("Requests go on while the store is down, and the newest configuration follows after") {
+TEST_CASE(
+    "Requests are served while the store is down, and the newest configuration applies after") {
   Deployment deployment(1);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.platform.store().faults().unavailable = true;
@@ -79,7 +81,7 @@
       [&] { return deployment.gateways[0]->gateway.metrics().configuration_version == 2; }));
 }
 
-TEST_CASE("Requests go on while the store takes few calls, and the configuration follows after") {
+TEST_CASE("Requests are served while the store limits calls, and the configuration applies after") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   StoreFaults& faults = deployment.platform.store().faults();
@@ -104,7 +106,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("Impatient clients and servers that fail do not make gateways exceed the retry budget") {
+TEST_CASE("Client cancellations and server failures do not exceed the retry budget") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.clients->SetImpatient(true);
@@ -120,7 +122,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("What clients leave is neither sent on nor worked on") {
+TEST_CASE("Requests cancelled by clients are neither forwarded nor processed") {
   Deployment deployment(1);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.clients->Start(12);
@@ -132,7 +134,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("A store that forgets its history is listed anew") {
+TEST_CASE("A store that compacts its history is listed again") {
   Deployment deployment(1);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.platform.store().faults().history_gone = true;
@@ -142,7 +144,7 @@
       [&] { return deployment.gateways[0]->gateway.metrics().configuration_version == 2; }));
 }
 
-TEST_CASE("Another gateway leads after the leader is cut from the store, and orders lie apart") {
+TEST_CASE("Another gateway leads after the leader loses the store, and orders do not overlap") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady() && deployment.Leaders() == 1; }));
   deployment.clients->Start(4);
@@ -163,7 +165,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-/// Gateways that relay changes however few they are.
+/// Gateways that relay changes regardless of their number.
 struct RelayingDeployment : Deployment {
   explicit RelayingDeployment(int gateway_count) : Deployment(gateway_count, {}, 2) {
     REQUIRE(RunUntil([&] { return AllReady() && Leaders() == 1; }));
@@ -185,7 +187,7 @@
   }
 };
 
-TEST_CASE("Followers serve on what the leader tells them and leave the store alone") {
+TEST_CASE("Followers use the changes relayed by the leader and do not poll the store") {
   RelayingDeployment deployment(3);
   const int leader = deployment.Leader();
   deployment.clients->Start(4);
@@ -200,7 +202,7 @@
     if (number == leader)
       CHECK(made >= 5);
     else
-      CHECK(made <= 2);  // One each 1.1 s without the leader.
+      CHECK(made <= 2);  // Without the leader, one call every 1.1 s.
   }
   deployment.platform.Configure();
   const auto in_force = [&] {
@@ -216,7 +218,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("Followers of a leader that is cut off from the store read for themselves") {
+TEST_CASE("Followers read the store directly when the leader is cut off from it") {
   RelayingDeployment deployment(3);
   const int leader = deployment.Leader();
   deployment.platform.store_proxy(leader).SetMode(ProxyMode::kSilent);
@@ -227,7 +229,7 @@
     return true;
   };
   REQUIRE(deployment.RunUntil(in_force));
-  // Another leads then, and is followed.
+  // Another gateway becomes the leader, and the rest follow it.
   REQUIRE(deployment.RunUntil([&] {
     for (int number = 0; number < 3; ++number)
       if (number != leader && deployment.Metrics(number).leading > 0) return true;
@@ -244,7 +246,7 @@
   }));
 }
 
-TEST_CASE("Servers that leave are used no more, and a stop under load loses no request") {
+TEST_CASE("Draining servers get no requests, and a shutdown under load loses no request") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.clients->Start(6);
--- a/test/platform/protocol_test.cc
+++ b/test/platform/protocol_test.cc
@@ -9,7 +9,7 @@
 
 const platform::Protocol kProtocol;
 
-TEST_CASE("A configuration is read with all that the gateway uses") {
+TEST_CASE("ParseConfiguration reads every field that the gateway uses") {
   const RoutingConfiguration configuration = kProtocol.ParseConfiguration(R"({"version":7,
     "routes":[{"name":"r","host":"h","pathPrefix":"/p/","type":"stream","timeoutMs":5000,
       "targetMs":800,"priority":1,"split":[{"service":"s","weight":90},{"service":"t","weight":10}],
@@ -36,13 +36,13 @@
   CHECK(configuration.FindService("x") == nullptr);
 }
 
-TEST_CASE("A type that is not known is handled as one that must not run twice") {
+TEST_CASE("An unknown route type is treated as at-most-once") {
   const RoutingConfiguration configuration = kProtocol.ParseConfiguration(
       R"({"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","type":"keyed"}]})");
   CHECK(configuration.routes[0].type == RouteType::kAtMostOnce);
 }
 
-TEST_CASE("What is not as it should be is an error that says so") {
+TEST_CASE("Malformed configurations, server records and reports are rejected") {
   for (const char* bad : {"", "7", "{\"version\":\"x\"}", "{\"routes\":{}}", "{\"routes\":[7]}",
                           "{\"version\":1,\"services\":[{\"name\":3}]}"}) {
     CAPTURE(bad);
@@ -55,7 +55,7 @@
   CHECK_THROWS(kProtocol.ParseReport("[]"));
 }
 
-TEST_CASE("Numbers beyond their range are errors, not other numbers") {
+TEST_CASE("Out-of-range numbers are rejected instead of being converted") {
   for (const char* bad :
        {R"({"version":1e300})", R"({"version":1.5})", R"({"version":1,"routes":[{"attempts":-1}]})",
         R"({"version":1,"routes":[{"attempts":4294967296}]})",
@@ -69,7 +69,7 @@
   CHECK_THROWS(kProtocol.ParseReport(R"({"born":-1})"));
 }
 
-TEST_CASE("A server's entry and report tell what it holds") {
+TEST_CASE("Server records and reports are parsed with their models and copies") {
   const ServerRecord record = kProtocol.ParseServer("i-1", R"({"service":"s","zone":"z",
     "address":"10.0.0.9:8080","version":"v1","slots":64,"state":"draining","models":[{"name":"m","version":1,
     "adapters":["a1"]}],"available":{"resident":["m"],"onDisk":["m","n"]},"seq":4,"born":1790000000000})");
@@ -88,7 +88,7 @@
   CHECK(status.incoming[0].HasAdapter("a3"));
 }
 
-TEST_CASE("An order names the incarnation, the order count, its holder and the fencing token") {
+TEST_CASE("An order carries the incarnation, order count, holder and fencing token") {
   const HttpRequest request =
       kProtocol.MakeOrder({ServerOrderKind::kUnload, "m", "a3", "i-1", 2, "node-7", 41});
   CHECK(FindHeader(request.headers, "X-Expect-Instance") == "i-1");
@@ -102,7 +102,7 @@
   CHECK(kProtocol.ReadOrderAnswer(400) == ServerOrderOutcome::kRejected);
 }
 
-TEST_CASE("What an answer says of its server is read, and what cannot be read is not said") {
+TEST_CASE("Server statements in response headers are parsed, and invalid values are ignored") {
   const auto read = [](HttpHeaders headers, unsigned status = 200) {
     return kProtocol.ReadStatement(headers, status);
   };
--- a/test/platform/store_client_test.cc
+++ b/test/platform/store_client_test.cc
@@ -1,5 +1,5 @@
-// What a store may answer that is no answer: it fails the call, in bounded time, and nothing of it
-// is handed over.
+// Invalid, truncated or stalled responses of the store must fail the call in bounded time, and no
+// part of them may reach the caller.
 
 #include "store_client.h"
 
@@ -37,7 +37,7 @@
   return options;
 }
 
-/// One listing and one read of changes against a store that runs `script`.
+/// Runs one listing and one watch against a store that runs `script`.
 struct Calls {
   explicit Calls(ScriptedServer::Script script)
       : server(std::move(script)), client(context, server.endpoint(), QuickOptions()) {
@@ -60,7 +60,7 @@
   std::optional<PlatformFailure> watch_failure;
 };
 
-TEST_CASE("What is no whole answer of the store fails the call and is believed in no part") {
+TEST_CASE("An invalid or incomplete response fails the call and delivers no part of it") {
   const std::string item = R"({"keyFile":"servers/a","value":"e30=","revision":3,"lease":0})";
   const std::string page = R"({"at":3,"more":true,"items":[)" + item + "]}";
   const std::string events = R"({"at":3,"events":[)" + item + "]}";
@@ -75,16 +75,16 @@
          connection.Write(Ok(events, 2 * events.size()));
        }},
       {"undecodable", Always(Ok("{\"at\":3,"))},
-      {"no object", Always(Ok("[]"))},
+      {"not an object", Always(Ok("[]"))},
       {"fields of the wrong kind", Always(Ok(R"({"at":"x","items":7,"events":{}})"))},
-      {"longer than any answer", Always(Ok(std::string(200 * 1024, ' ')))},
-      {"pauses for ever",
+      {"exceeds the size limit", Always(Ok(std::string(200 * 1024, ' ')))},
+      {"stalls",
        [&](ScriptedConnection& connection) {
          connection.ReadHead();
          connection.Write(Ok("{", 1'000));
          connection.AwaitClose(std::chrono::seconds(20));
        }},
-      {"one byte now and then",
+      {"one byte every 50 ms",
        [](ScriptedConnection& connection) {
          connection.ReadHead();
          connection.Write(Ok("{", 1'000));
@@ -108,7 +108,7 @@
   CHECK(calls.listing->failure().message.find("endless pages") != std::string::npos);
 }
 
-TEST_CASE("An item of another writer leaves the rest of the store's answer readable") {
+TEST_CASE("Malformed items do not prevent the rest of a response from being decoded") {
   const std::string items =
       R"([{"keyFile":"servers/a","value":"e30=","revision":3,"lease":0},
           {"value":"e30=","revision":3}, {"keyFile":7,"value":"e30="}, 5, null,
@@ -144,7 +144,7 @@
   CHECK(calls.batches == 1);
 }
 
-TEST_CASE("Of a listing that is not wanted any more no further page is asked for") {
+TEST_CASE("A cancelled listing requests no further page") {
   std::atomic<int> pages = 0;
   ScriptedServer server([&](ScriptedConnection& connection) {
     while (!connection.ReadHead().empty()) {
--- a/test/platform/store_era_test.cc
+++ b/test/platform/store_era_test.cc
@@ -1,5 +1,6 @@
-// Answers of the metadata store tell its era. A revision, a lease or an answer of an earlier era
-// has no effect in a later one, though its number may be in use again there.
+// Responses of the metadata store state its era, which rises when the store is restored from an
+// older copy. A revision, lease or response of an earlier era must have no effect in a later one,
+// although its number may be in use again there.
 
 #include "store_era.h"
 
@@ -19,11 +20,11 @@
 using std::chrono::milliseconds;
 
 struct EraFixture {
-  std::vector<StoreEraEvent::Kind> news;
-  StoreEra era{[this](const StoreEraEvent& each) { news.push_back(each.kind); }};
+  std::vector<StoreEraEvent::Kind> events;
+  StoreEra era{[this](const StoreEraEvent& event) { events.push_back(event.kind); }};
 };
 
-TEST_CASE("Eras rise, and what is of an earlier one is refused and told once") {
+TEST_CASE("Responses of an earlier era are rejected and reported once") {
   EraFixture fixture;
   CHECK(fixture.era.Observe("1") == 1);
   CHECK(fixture.era.Observe("1") == 1);
@@ -33,27 +34,27 @@
   for (int answer = 0; answer < 3; ++answer) CHECK(fixture.era.Observe("1") == std::nullopt);
   CHECK(fixture.era.newest() == 4);
   using Kind = StoreEraEvent::Kind;
-  CHECK(fixture.news == std::vector<Kind>{Kind::kAdvanced, Kind::kAdvanced, Kind::kRegressed});
+  CHECK(fixture.events == std::vector<Kind>{Kind::kAdvanced, Kind::kAdvanced, Kind::kRegressed});
 }
 
-TEST_CASE("A store that tells no era is in era 0, and one that begins to tell is in a later one") {
+TEST_CASE("A store that states no era is in era 0 until it states a later one") {
   EraFixture fixture;
   CHECK(fixture.era.Observe("") == 0);
   CHECK(fixture.era.Observe("") == 0);
-  CHECK(fixture.news.size() == 1);
+  CHECK(fixture.events.size() == 1);
   CHECK(fixture.era.Observe("2") == 2);
   CHECK(fixture.era.IsSuperseded(0));
-  CHECK(fixture.era.Observe("") == std::nullopt);  // Of which era it is cannot be told.
+  CHECK(fixture.era.Observe("") == std::nullopt);  // Its era is unknown.
 }
 
-TEST_CASE("An era that is no whole number makes an answer unusable once eras are told") {
+TEST_CASE("A response with a malformed era is rejected once an era was stated") {
   for (const char* text : {"x", "-1", "1.5", "99999999999999999999", "3 ", "3,4"}) {
     CAPTURE(text);
     EraFixture fixture;
     CHECK(fixture.era.Observe("3") == 3);
     CHECK(fixture.era.Observe(text) == std::nullopt);
     CHECK(fixture.era.Observe(text) == std::nullopt);
-    CHECK(fixture.news.size() == 2);
+    CHECK(fixture.events.size() == 2);
     CHECK(fixture.era.Observe("3") == 3);
   }
 }
@@ -63,7 +64,7 @@
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A store that answers each call, in whatever era it is told to.
+/// A store that responds to event call in the era set by `era`.
 struct ScriptedStore {
   ScriptedStore()
       : server([this](ScriptedConnection& connection) {
@@ -108,7 +109,7 @@
   Outcome<Duration> Renew(LeaseId lease) {
     return Await<Duration>([&](auto done) { client.KeepLeaseAlive(lease, done); });
   }
-  /// @return why the watch ended, if it did before it brought something.
+  /// @return why the watch ended, if it ended before its first batch.
   std::optional<PlatformFailure> Watch(StoreRevision start) {
     std::optional<PlatformFailure> ended;
     bool brought = false;
@@ -130,7 +131,7 @@
   platform::StoreClient client;
 };
 
-TEST_CASE("Revisions and leases that are read carry the era of the answer") {
+TEST_CASE("Revisions and leases carry the era of the response") {
   ScriptedStore store;
   CHECK(store.Read().value().revision == StoreRevision{3, 50});
   const auto lease =
@@ -142,7 +143,7 @@
   CHECK(store.client.era() == 3);
 }
 
-TEST_CASE("Once a later era is known, calls that name an earlier one are not sent") {
+TEST_CASE("Calls that refer to an earlier era are not sent once a later one is known") {
   ScriptedStore store;
   store.era = 4;
   REQUIRE(store.Read().ok());
@@ -159,21 +160,21 @@
   CHECK(store.calls == calls);
 }
 
-TEST_CASE("What is answered in a later era than it names has not come about as meant") {
+TEST_CASE("A call that is answered in a later era than it refers to fails") {
   ScriptedStore store;
   REQUIRE(store.Read().ok());
   store.era = 4;
-  SECTION("a write may have been done, on what has the same number now") {
+  SECTION("the outcome of a write is unknown: it may have matched a reused revision number") {
     CHECK(store.Write({3, 50}, {3, 9}).failure().fault == PlatformFault::kNoAnswer);
   }
-  SECTION("a renewal renewed something else's lease") {
+  SECTION("a renewal may have renewed a different lease with the same number") {
     CHECK(store.Renew({3, 9}).failure().fault == PlatformFault::kRejected);
   }
-  SECTION("a watch shows changes of another history") { REQUIRE(store.Watch({3, 51})); }
+  SECTION("a watch would deliver changes of a different history") { REQUIRE(store.Watch({3, 51})); }
   CHECK(store.client.era() == 4);
 }
 
-TEST_CASE("An answer of an earlier era that comes after a later one is none") {
+TEST_CASE("A response of an earlier era after one of a later era is discarded") {
   ScriptedStore store;
   store.era = 4;
   REQUIRE(store.Read().ok());
--- a/test/platform/users_platform_environment.h
+++ b/test/platform/users_platform_environment.h
@@ -9,8 +9,8 @@
 
 namespace moorfold {
 
-/// The users' platform's store client against the project's emulator of it, over loopback. That
-/// platform has no machine list and no engines of the first platform's kind.
+/// Contract test environment for StoreClient against StoreEmulator, over loopback. This platform
+/// has neither a machine list nor engines, so calls for them throw.
 class UsersPlatformEnvironment : public ContractEnvironment {
  public:
   UsersPlatformEnvironment()
