--- a/test/platform/decoder_fuzz_test.cc
+++ b/test/platform/decoder_fuzz_test.cc
@@ -29,8 +29,8 @@
   }
 
  private:
-  int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
-  std::size_t Place(const std::string& text) {
+  int Draw(int max_value) { return std::uniform_int_distribution<int>(0, max_value)(random_); }
+  std::size_t RandomPosition(const std::string& text) {
     return text.empty() ? 0 : static_cast<std::size_t>(Draw(static_cast<int>(text.size()) - 1));
   }
   std::string MutateOnce(std::string text) {
@@ -38,7 +38,7 @@
         "null", "-1",       "1e300",   "18446744073709551616",
         "1.5",  "[]",       "{}",      "\"x\"",
         "true", "\xff\x01", "\\u0000", "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["};
-    const std::size_t at = Place(text);
+    const std::size_t at = RandomPosition(text);
     switch (Draw(4)) {
       case 0:
         if (!text.empty()) text[at] = static_cast<char>(Draw(255));
@@ -56,7 +56,7 @@
   }
   /// Replaces the value after a random colon, which mostly keeps the text valid JSON.
   std::string ReplaceValue(std::string text, const std::string& value) {
-    const std::size_t colon = text.find(':', Place(text));
+    const std::size_t colon = text.find(':', RandomPosition(text));
     if (colon == std::string::npos) return text;
     const std::size_t end = text.find_first_of(",}]", colon);
     if (end == std::string::npos) return text;
@@ -68,7 +68,7 @@
 
 struct Decoder {
   const char* name;
-  std::string good;
+  std::string valid_input;
   std::function<void(const std::string&)> decode;
 };
 
@@ -115,26 +115,26 @@
   Mutator mutator(kSeed);
   for (const Decoder& each : Decoders()) {
     INFO(each.name);
-    CHECK_NOTHROW(each.decode(each.good));
+    CHECK_NOTHROW(each.decode(each.valid_input));
     int read = 0;
-    int refused = 0;
+    int rejected = 0;
     for (int round = 0; round < kRounds; ++round) {
-      const std::string text = mutator.Mutate(each.good);
+      const std::string text = mutator.Mutate(each.valid_input);
       try {
         each.decode(text);
         ++read;
       } catch (const std::exception&) {
-        ++refused;
+        ++rejected;
       }
     }
-    CHECK(read + refused == kRounds);
-    CHECK(refused > 0);
+    CHECK(read + rejected == kRounds);
+    CHECK(rejected > 0);
   }
 }
 
 TEST_CASE("The fuzzer detects a decoder that accepts an out-of-range number") {
   // Deliberate fault: throws something other than std::exception for a large number.
-  const auto planted = [](const std::string& text) {
+  const auto faulty_decoder = [](const std::string& text) {
     const boost::json::value value = boost::json::parse(text);
     if (value.at("seq").to_number<double>() > 1e9) throw 7;  // Not a std::exception.
   };
@@ -142,7 +142,7 @@
   bool found = false;
   for (int round = 0; round < kRounds && !found; ++round) {
     try {
-      planted(mutator.Mutate(R"({"seq":2})"));
+      faulty_decoder(mutator.Mutate(R"({"seq":2})"));
     } catch (const std::exception&) {
       continue;
     } catch (int) {
--- a/test/platform/gateway_end_to_end_test.cc
+++ b/test/platform/gateway_end_to_end_test.cc
@@ -11,13 +11,14 @@
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady() && deployment.Leaders() == 1; }));
   deployment.RunFor(milliseconds(3'200));  // Until the leader may issue orders.
-  const std::string cold = deployment.platform.models().back();
-  CHECK(deployment.Send(0, deployment.Stream("one", cold)).status == 200);
-  CHECK(deployment.Send(1, deployment.Stream("two", cold)).status == 200);
-  CHECK(deployment.Send(0, deployment.Stream("three", cold + "/a1")).status == 200);
+  const std::string unloaded_model = deployment.platform.models().back();
+  CHECK(deployment.Send(0, deployment.Stream("one", unloaded_model)).status == 200);
+  CHECK(deployment.Send(1, deployment.Stream("two", unloaded_model)).status == 200);
+  CHECK(deployment.Send(0, deployment.Stream("three", unloaded_model + "/a1")).status == 200);
   int holders = 0;
   for (const auto& server : deployment.platform.servers())
-    for (const HeldModel& held : server->options().models) holders += held.name == cold ? 1 : 0;
+    for (const HeldModel& held : server->options().models)
+      holders += held.name == unloaded_model ? 1 : 0;
   CHECK(holders == 1);
   CHECK(deployment.platform.checker().violations().empty());
 }
@@ -38,11 +39,11 @@
     deployment.platform.servers().front()->End();
     ended = BootClock::now();
   });
-  const std::string cold = deployment.platform.models().back();
+  const std::string unloaded_model = deployment.platform.models().back();
   bool served = false;
   for (int number = 0; number < 200 && !served; ++number) {
     const std::string id = "r-" + std::to_string(number);
-    served = deployment.Send(0, deployment.Stream(id, cold)).status == 200;
+    served = deployment.Send(0, deployment.Stream(id, unloaded_model)).status == 200;
     deployment.RunFor(milliseconds(50));
   }
   CHECK(served);
--- a/test/platform/store_client_test.cc
+++ b/test/platform/store_client_test.cc
@@ -38,8 +38,8 @@
 }
 
 /// Runs one listing and one watch against a store that runs `script`.
-struct Calls {
-  explicit Calls(ScriptedServer::Script script)
+struct ListAndWatch {
+  explicit ListAndWatch(ScriptedServer::Script script)
       : server(std::move(script)), client(context, server.endpoint(), QuickOptions()) {
     client.Range({"", "\xff"},
                  [this](Outcome<RangeResult> outcome) { listing.emplace(std::move(outcome)); });
@@ -93,7 +93,7 @@
   };
   for (const Case& each : cases) {
     INFO(each.name);
-    Calls calls(each.script);
+    ListAndWatch calls(each.script);
     REQUIRE(calls.listing);
     REQUIRE(calls.watch_failure);
     CHECK_FALSE(calls.listing->ok());
@@ -102,7 +102,7 @@
     CHECK(calls.batches == 0);
   }
   INFO("pages that do not advance");
-  Calls calls(Always(Ok(page)));
+  ListAndWatch calls(Always(Ok(page)));
   REQUIRE(calls.listing);
   CHECK_FALSE(calls.listing->ok());
   CHECK(calls.listing->failure().message.find("endless pages") != std::string::npos);
@@ -116,7 +116,7 @@
           {"keyFile":"servers/c","revision":"x","value":"e30="},
           {"keyFile":"servers/d","value":"*no base 64*","revision":3}])";
   std::atomic<int> watches{0};
-  Calls calls([&](ScriptedConnection& connection) {
+  ListAndWatch calls([&](ScriptedConnection& connection) {
     while (true) {
       const std::string head = connection.ReadHead();
       if (head.empty()) return;
--- a/test/platform/store_era_test.cc
+++ b/test/platform/store_era_test.cc
@@ -64,7 +64,7 @@
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A store that responds to event call in the era set by `era`.
+/// A store that responds to each call in the era set by `era`.
 struct ScriptedStore {
   ScriptedStore()
       : server([this](ScriptedConnection& connection) {
@@ -112,12 +112,12 @@
   /// @return why the watch ended, if it ended before its first batch.
   std::optional<PlatformFailure> Watch(StoreRevision start) {
     std::optional<PlatformFailure> ended;
-    bool brought = false;
+    bool received_batch = false;
     const auto watch = client.Watch(
-        {"", "\xff"}, start, [&](const WatchBatch&) { brought = true; },
+        {"", "\xff"}, start, [&](const WatchBatch&) { received_batch = true; },
         [&](const PlatformFailure& failure) { ended = failure; });
     const auto give_up = BootClock::now() + std::chrono::seconds(60);
-    while (!ended && !brought && BootClock::now() < give_up) {
+    while (!ended && !received_batch && BootClock::now() < give_up) {
       if (context.stopped()) context.restart();
       context.run_one_for(milliseconds(20));
     }
