--- a/test/platform/decoder_fuzz_test.cc
+++ b/test/platform/decoder_fuzz_test.cc
@@ -133,7 +133,7 @@
 }
 
 TEST_CASE("The fuzzer detects a decoder that accepts an out-of-range number") {
-  // Deliberate fault: throws something other than std::exception for a large number.
+  // Deliberate fault, as of a decoder that uses an unchecked number as a length.
   const auto faulty_decoder = [](const std::string& text) {
     const boost::json::value value = boost::json::parse(text);
     if (value.at("seq").to_number<double>() > 1e9) throw 7;  // Not a std::exception.
--- a/test/platform/gateway_end_to_end_test.cc
+++ b/test/platform/gateway_end_to_end_test.cc
@@ -107,7 +107,7 @@
   CHECK(deployment.platform.checker().violations() == std::vector<std::string>{});
 }
 
-TEST_CASE("Client cancellations and server failures do not exceed the retry budget") {
+TEST_CASE("Client retries and server failures do not make gateways exceed the retry budget") {
   Deployment deployment(2);
   REQUIRE(deployment.RunUntil([&] { return deployment.AllReady(); }));
   deployment.clients->SetImpatient(true);
