--- a/test/platform/decoder_fuzz_test.cc
+++ b/test/platform/decoder_fuzz_test.cc
@@ -1,6 +1,6 @@
-// Every decoder of what stands in the platform's store or comes from a server or a daemon, fed with
-// mutations of what is right: bytes, types, numbers beyond their range, depth. Each either reads
-// the text or throws std::exception; the sanitizers see to the rest. Seeded.
+// Fuzzes every decoder of store values and of messages from servers and daemons with mutations of
+// valid input: bytes, types, out-of-range numbers, nesting depth. Each must decode the text or
+// throw std::exception; the sanitizers detect memory errors and undefined behaviour. Seeded.
 
 #include <boost/json.hpp>
 #include <catch2/catch.hpp>
@@ -29,8 +29,8 @@
   }
 
  private:
-  int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
-  std::size_t Place(const std::string& text) {
+  int Draw(int max_value) { return std::uniform_int_distribution<int>(0, max_value)(random_); }
+  std::size_t RandomPosition(const std::string& text) {
     return text.empty() ? 0 : static_cast<std::size_t>(Draw(static_cast<int>(text.size()) - 1));
   }
   std::string MutateOnce(std::string text) {
@@ -38,7 +38,7 @@
         "null", "-1",       "1e300",   "18446744073709551616",
         "1.5",  "[]",       "{}",      "\"x\"",
         "true", "\xff\x01", "\\u0000", "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["};
-    const std::size_t at = Place(text);
+    const std::size_t at = RandomPosition(text);
     switch (Draw(4)) {
       case 0:
         if (!text.empty()) text[at] = static_cast<char>(Draw(255));
@@ -54,9 +54,9 @@
         return ReplaceValue(std::move(text), kPieces[static_cast<std::size_t>(Draw(8))]);
     }
   }
-  /// Puts another value after some colon: the text stays JSON more often than not.
+  /// Replaces the value after a random colon, which mostly keeps the text valid JSON.
   std::string ReplaceValue(std::string text, const std::string& value) {
-    const std::size_t colon = text.find(':', Place(text));
+    const std::size_t colon = text.find(':', RandomPosition(text));
     if (colon == std::string::npos) return text;
     const std::size_t end = text.find_first_of(",}]", colon);
     if (end == std::string::npos) return text;
@@ -68,7 +68,7 @@
 
 struct Decoder {
   const char* name;
-  std::string good;
+  std::string valid_input;
   std::function<void(const std::string&)> decode;
 };
 
@@ -111,38 +111,38 @@
   };
 }
 
-TEST_CASE("A decoder reads what it is given, or says that it cannot") {
+TEST_CASE("A decoder either accepts mutated input or throws std::exception") {
   Mutator mutator(kSeed);
   for (const Decoder& each : Decoders()) {
     INFO(each.name);
-    CHECK_NOTHROW(each.decode(each.good));
+    CHECK_NOTHROW(each.decode(each.valid_input));
     int read = 0;
-    int refused = 0;
+    int rejected = 0;
     for (int round = 0; round < kRounds; ++round) {
-      const std::string text = mutator.Mutate(each.good);
+      const std::string text = mutator.Mutate(each.valid_input);
       try {
         each.decode(text);
         ++read;
       } catch (const std::exception&) {
-        ++refused;
+        ++rejected;
       }
     }
-    CHECK(read + refused == kRounds);
-    CHECK(refused > 0);
+    CHECK(read + rejected == kRounds);
+    CHECK(rejected > 0);
   }
 }
 
-TEST_CASE("The fuzz finds a decoder that believes a number beyond its range") {
-  // A planted fault: it takes what it is told for a length.
-  const auto planted = [](const std::string& text) {
+TEST_CASE("The fuzzer detects a decoder that accepts an out-of-range number") {
+  // Deliberate fault, as of a decoder that uses an unchecked number as a length.
+  const auto faulty_decoder = [](const std::string& text) {
     const boost::json::value value = boost::json::parse(text);
-    if (value.at("seq").to_number<double>() > 1e9) throw 7;  // No std::exception.
+    if (value.at("seq").to_number<double>() > 1e9) throw 7;  // Not a std::exception.
   };
   Mutator mutator(kSeed);
   bool found = false;
   for (int round = 0; round < kRounds && !found; ++round) {
     try {
-      planted(mutator.Mutate(R"({"seq":2})"));
+      faulty_decoder(mutator.Mutate(R"({"seq":2})"));
     } catch (const std::exception&) {
       continue;
     } catch (int) {
