--- a/src/gateway/quarantine_api.cc
+++ b/src/gateway/quarantine_api.cc
@@ -18,9 +18,9 @@
   std::string versions;
   for (const std::string& version : listed.versions)
     versions += (versions.empty() ? "" : ",") + version;
-  const auto left = std::chrono::duration_cast<std::chrono::seconds>(listed.left);
+  const auto time_left = std::chrono::duration_cast<std::chrono::seconds>(listed.time_left);
   return ToString(listed.fingerprint) + " " + listed.service + " " +
-         std::to_string(listed.servers) + " " + std::to_string(left.count()) + " " + versions +
+         std::to_string(listed.servers) + " " + std::to_string(time_left.count()) + " " + versions +
          "\n";
 }
 
