--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -8,18 +8,18 @@
 namespace {
 
 /// Time in which a better placement has to repay its loads and evictions; demand is not predicted
-/// further ahead. 5 s gained 0.040 of the attainable response value (responses within their route
-/// target earn full value) over 10 s (standard error 0.009, paired days of one deployment); 3 s
-/// performed like 5 s.
+/// further ahead. Compared with 10 s, 5 s gains 0.040 of the attainable response value (responses
+/// within their route target earn full value; standard error 0.009, paired days of one
+/// deployment); 3 s performs like 5 s.
 constexpr double kPlanningHorizonS = 5;
 /// Request-seconds that an eviction costs in addition to the victim's value: the server takes no
 /// other order meanwhile and drops the victim's cached prompts, and other servers may lack the
-/// victim. Gained 0.023 of the attainable response value (0.744 -> 0.767, days of one deployment);
-/// no other value was measured.
+/// victim. This cost raises the share of the attainable response value from 0.744 to 0.767, a gain
+/// of 0.023 (days of one deployment). The value is not tuned.
 constexpr double kEvictionOverhead = 2.5;
 /// Request-seconds per second that a fleet loses while none of its servers accepts orders. A server
 /// that loads from the weight store accepts none for seconds and costs its share; in a large fleet
-/// other servers can take the next model. 36 is 4 for each of 9 servers. 4 per server gained 0.026
+/// other servers can take the next model. 36 is 4 for each of 9 servers. 4 per server gains 0.026
 /// of the attainable response value in a fleet of 86 daemons (standard error 0.011). The cost per
 /// server is capped at 4 in smaller fleets, which still have to load the requested models.
 constexpr double kBlockedFleetCost = 36;
@@ -204,8 +204,8 @@
   // If another server has the weights in memory or on disk, waiting until it accepts orders is
   // better.
   const bool only_source = from_store && !local_copy_exists;
-  if (ReplicaCount(model.name) >
-      0)  // Another replica pays off only if the demand outlasts its load.
+  // Another replica pays off only if the demand outlasts its load.
+  if (ReplicaCount(model.name) > 0)
     placement.cost +=
         gain * kPlanningHorizonS * (1 - DemandSurvivalProbability(model.name, load_s));
   else if (!only_source)
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -20,10 +20,11 @@
 constexpr const char* kQuarantineKey = "moorfold/quarantine";
 /// Interval between two reads of the store, as a share of the tighter staleness bound. The rest
 /// covers the store calls, requests in flight and slow machines. With an interval of the bound
-/// less 0.9 s, a fleet of 86 daemons used servers beyond the bound on two of six days.
+/// less 0.9 s, a fleet of 86 daemons uses server records older than the bound on two of six days.
 constexpr double kReadIntervalShare = 0.55;
-/// The same for a leader that other daemons follow. A follower's data is older by up to its polling
-/// interval and must stay within `kReadIntervalShare` even if one datagram is lost.
+/// Like `kReadIntervalShare`, for a leader that other daemons follow. A follower's data is older by
+/// up to its polling interval and must stay within `kReadIntervalShare` even if one datagram is
+/// lost.
 constexpr double kWatcherReadIntervalShare = 0.1;
 /// Minimum interval between two reads that are triggered by an event, such as a newer
 /// configuration. Together with the polling interval it stays within `kReadIntervalShare` for
@@ -34,8 +35,8 @@
 constexpr double kRelayTimeoutShare = 0.7;
 /// Time to wait for a newer configuration from a relay before it is read from the store.
 constexpr double kConfigurationTimeoutShare = 0.2;
-constexpr double kRelayTimeoutJitter =
-    0.15;  ///< Upper limit of the jitter added to kRelayTimeoutShare.
+/// Upper limit of the jitter added to `kRelayTimeoutShare`.
+constexpr double kRelayTimeoutJitter = 0.15;
 constexpr std::size_t kJitterSteps = 1'000;
 constexpr milliseconds kPeriodicTaskInterval{500};
 /// A timer that fires this late shows that the process was suspended or waited for the CPU. The
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -27,7 +27,7 @@
 /// daemons that have not yet learned it.
 constexpr double kFreeRetriesShare = 0.5;
 constexpr double kMinFleetSize = 4;
-/// Also allowed to a daemon that does not know the fleet's size.
+/// Minimum number of free retries of a daemon, even if it does not know the fleet's size.
 constexpr double kMinFreeRetries = 2;
 
 }  // namespace
--- a/src/gateway/quarantine_api.h
+++ b/src/gateway/quarantine_api.h
@@ -5,11 +5,13 @@
 
 namespace moorfold {
 
-/// Operator API for quarantined requests, served on the metrics port:
-/// - GET quarantine: one line each, "FINGERPRINT SERVICE SERVERS SECONDS_LEFT VERSION,...".
-/// - POST quarantine/release/FINGERPRINT: releases the request on every daemon; the count of
-/// crashed
-///   servers restarts at zero.
+/// Operator API for quarantined requests, served on the metrics port.
+///
+/// GET /quarantine lists the requests, one line each:
+/// "FINGERPRINT SERVICE SERVERS SECONDS_LEFT VERSION,...".
+///
+/// POST /quarantine/release/FINGERPRINT releases the request on every daemon; its count of crashed
+/// servers restarts at zero.
 inline constexpr std::string_view kQuarantinePath = "/quarantine";
 
 /// @pre the request's target begins with kQuarantinePath.
--- a/src/gateway/quarantine_filter.cc
+++ b/src/gateway/quarantine_filter.cc
@@ -20,8 +20,9 @@
          });
 }
 
-/// A suspected request is tried at one server at a time, and not at a server that has another
-/// suspect: if the server crashes, the cause is unambiguous; if not, the request is cleared.
+/// A suspected request is sent to one server at a time, and not to a server that is running another
+/// suspected request: if the server crashes, the cause is unambiguous; if not, the request is
+/// cleared.
 bool QuarantineFilter::ExcludeServers(const GatewayRequest& request,
                                       ServerChoiceRequest& choice_request) const {
   if (quarantine_.HasAttemptInFlight(request.fingerprint)) return false;
@@ -67,7 +68,8 @@
   if (result.status == 0) return;
   if (quarantine_.tracker().AwaitsConfirmation(record.id))
     quarantine_.Note(quarantine::ServerResponded{record.id, sent_at});
-  // An error response proves nothing: the server may send it before it has started the request.
+  // An error response does not clear the request: the server may send it before it has started the
+  // request.
   if (result.attempt_outcome == AttemptOutcome::kAnswered &&
       result.status < http_status::kBadRequest)
     quarantine_.Note(quarantine::RequestSucceeded{request.fingerprint, record.software_version});
--- a/src/gateway/quarantine_filter.h
+++ b/src/gateway/quarantine_filter.h
@@ -7,8 +7,8 @@
 
 namespace moorfold {
 
-/// Keeps requests that crash servers ("queries of death") away from servers, and records the
-/// evidence of attempts in the quarantine's case book. Not thread-safe.
+/// Keeps requests that crash servers ("queries of death") away from servers, and reports the
+/// evidence of attempts to the quarantine's CrashTracker. Not thread-safe.
 class QuarantineFilter {
  public:
   QuarantineFilter(const FleetView& view, QuarantineService& quarantine)
@@ -18,9 +18,10 @@
   /// its service.
   bool IsQuarantined(const GatewayRequest& request) const;
   /// Excludes servers to which a suspected request must not be sent now.
-  /// @return whether a server may be chosen at all; false while the request is on trial elsewhere.
+  /// @return whether a server may be chosen at all; false while another attempt of the request is
+  /// in flight.
   bool ExcludeServers(const GatewayRequest& request, ServerChoiceRequest& choice_request) const;
-  /// Records in the case book what an attempt shows about its server and its request.
+  /// Reports to the CrashTracker what an attempt shows about its server and its request.
   void RecordAttempt(const GatewayRequest& request, const Server& server,
                      const AttemptResult& result, SteadyTime sent_at);
 
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -65,7 +65,7 @@
   /// Asks the relay what has changed.
   void RequestChanges();
   /// Handles a relay's answer about changes.
-  /// @return whether the sender is a relay that this daemon may believe.
+  /// @return whether the sender is a relay whose answers this daemon accepts.
   bool TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerServersQuestion(const ServersRequest& question, const std::string& from);
   void HandleServersPage(const ServersPage& page, const std::string& from);
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -23,8 +23,8 @@
 /// Share of a route's target that a request may wait for its tenant's credit. A longer wait would
 /// leave little of the target for the server.
 constexpr double kCreditWaitTargetShare = 0.5;
-/// Share of the tighter bound that a request waits for a store read when the known state is too
-/// old. Longer than a read and its retry take (0.125 of the bound, plus network time).
+/// Share of the tighter staleness bound that a request waits for a store read when the known state
+/// is too old. Longer than a read and its retry take (0.125 of the bound, plus network time).
 constexpr double kReadWaitBoundShare = 0.15;
 /// Factor on the fleet's retry ratio: leaves a margin for the edges of the sliding windows.
 constexpr double kRetryRatioMargin = 0.8;
@@ -114,7 +114,8 @@
 }
 
 /// Waits until one more retry is allowed. A request that has not run waits at most as long as one
-/// that has no server; others do not wait. @return whether a retry may be sent.
+/// that has no server; others do not wait.
+/// @return whether a retry may be sent.
 Awaitable<bool> RequestPipeline::AwaitRetryBudget(GatewayRequest& request,
                                                   WindowedRetryBudget& retry_budget) {
   while (!retry_budget.TryAcquireRetry(BootClock::now())) {
@@ -271,7 +272,8 @@
   const auto credit_wait = std::chrono::duration_cast<BootClock::duration>(request.route->target *
                                                                            kCreditWaitTargetShare);
   const SteadyTime wait_until = std::min(request.expires_at, request.arrival + credit_wait);
-  // Requests of one tenant are ordered by route priority; the tenant's own is the same for all.
+  // Requests of one tenant are ordered by route priority: the tenant's priority is the same for
+  // all of them.
   const quota::CreditDemand wish{request.tenant->name, request.units, request.route->priority,
                                  std::max(BootClock::duration{}, wait_until - BootClock::now())};
   const QuotaDecision decision = co_await quota_.Acquire(wish);
--- a/src/relay/relay_plan.cc
+++ b/src/relay/relay_plan.cc
@@ -14,11 +14,14 @@
 constexpr std::size_t kMinRelaysPerZone = 2;
 /// Daemons that one relay serves. When all start at once, each fetches some hundreds of pages.
 constexpr std::size_t kDaemonsPerRelay = 60;
-/// Daemons report at least every three seconds; one report may be lost.
+/// Time without a report after which a daemon no longer counts as a member. Daemons report at least
+/// every three seconds; one report may be lost.
 constexpr milliseconds kMemberTimeout{8'000};
-/// By then every daemon of a fleet that starts at once has reported twice.
+/// Time from a leader's election to its first plan if there are no relays yet. Every daemon of a
+/// fleet that starts at once reports twice within this time.
 constexpr milliseconds kFirstPlanDelay{1'500};
-/// By then a new leader has heard from all live daemons.
+/// Time from a leader's election to its first change of an existing plan with relays. All live
+/// daemons report to the new leader within this time.
 constexpr milliseconds kReplanDelay{9'000};
 /// Hysteresis: relays are removed only well below the fleet size at which they were introduced.
 constexpr double kRelayRemovalFraction = 0.75;
--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -21,8 +21,8 @@
 constexpr int kDepositsPerLifetime = 4;
 constexpr milliseconds kMaxDepositInterval{500};
 constexpr milliseconds kMinDepositInterval{60};
-/// A daemon's share of the rate accrues in parts of this length, so that not all of it takes the
-/// age of the oldest.
+/// A daemon's share of the rate accrues in parts of this length. Each part has its own age; as one
+/// part, all of the credit would be as old as its oldest unit.
 constexpr milliseconds kAccrualInterval{125};
 /// Maximum parts per tenant in a message: half a second in parts of 125 ms.
 constexpr std::size_t kMaxPartsPerTenant = 4;
@@ -30,8 +30,8 @@
 /// and a tenth of a second more on a machine whose processor time is exhausted.
 constexpr milliseconds kPoolTimeout{250};
 /// Credit with less of its lifetime left is not granted: it would expire in transit, and the
-/// request that it was to complete would be refused (28% of a small tenant's requests below its
-/// limit, in credit_model_test).
+/// request that needs it would be refused. Without this minimum, 28% of the requests of a small
+/// tenant below its limit are refused in credit_model_test.
 constexpr milliseconds kMinLifetimeLeftToGrant{100};
 /// How long granted credit is reserved for its request. A request takes it at once, unless it has
 /// ended in the meantime.
@@ -299,10 +299,10 @@
 
 /// Requests that have to wait are queued by urgency, then by arrival, and are answered when enough
 /// credit has accrued. If each retried by itself, a flood would send many questions a second per
-/// request, and credit would expire in parts too small for any request (0.07 to 0.29 of the limit
-/// was delivered, in credit_model_test; with the queue all of it is). A request whose patience is
-/// shorter than the wait is refused at once. A request that costs a negligible share of the limit
-/// goes first.
+/// request, and credit would expire in parts too small for any request. In credit_model_test, 0.07
+/// to 0.29 of the limit is delivered without the queue, and all of it with the queue. A request
+/// whose patience is shorter than the wait is refused at once. A request that costs a negligible
+/// share of the limit goes first.
 CreditGrant CreditLedger::GrantOrQueue(const CreditRequest& request, const CreditQuestion& question,
                                        const std::string& from, Account& account, Time now) {
   CreditGrant grant;
