--- a/src/fleet/demand.cc
+++ b/src/fleet/demand.cc
@@ -2,7 +2,7 @@
 
 namespace moorfold {
 
-std::vector<DemandEntry> DemandCounters::Take() {
+std::vector<DemandEntry> ModelDemandCounters::Take() {
   std::vector<DemandEntry> entries;
   for (auto at = counts_.begin(); at != counts_.end();) {
     Count& count = at->second;
@@ -21,13 +21,13 @@
   return entries;
 }
 
-std::int64_t DemandCounters::Waiting() const {
+std::int64_t ModelDemandCounters::Waiting() const {
   std::int64_t waiting = 0;
   for (const auto& [key, count] : counts_) waiting += count.waiting;
   return waiting;
 }
 
-std::int64_t DemandCounters::InFlight() const {
+std::int64_t ModelDemandCounters::InFlight() const {
   std::int64_t in_flight = 0;
   for (const auto& [key, count] : counts_) in_flight += count.in_flight;
   return in_flight;
--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -21,7 +21,7 @@
 };
 
 /// Counts a daemon's demand between reports. Not thread-safe.
-class DemandCounters {
+class ModelDemandCounters {
  public:
   struct Key {
     std::string service;
@@ -54,8 +54,8 @@
 class ScopedDemandCount {
  public:
   /// @param counted the count to increment in the model's entry.
-  ScopedDemandCount(DemandCounters& counters, std::string service, ModelReference model,
-                    std::uint32_t DemandCounters::Count::*counted)
+  ScopedDemandCount(ModelDemandCounters& counters, std::string service, ModelReference model,
+                    std::uint32_t ModelDemandCounters::Count::*counted)
       : counters_(counters),
         service_(std::move(service)),
         model_(std::move(model)),
@@ -67,10 +67,10 @@
   ScopedDemandCount& operator=(const ScopedDemandCount&) = delete;
 
  private:
-  DemandCounters& counters_;
+  ModelDemandCounters& counters_;
   std::string service_;
   ModelReference model_;
-  std::uint32_t DemandCounters::Count::*counted_;
+  std::uint32_t ModelDemandCounters::Count::*counted_;
 };
 
 }  // namespace moorfold
--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -21,7 +21,7 @@
   RouteTableConstPtr routes;  ///< Null until a configuration is known.
   ServerDirectory servers;
   ExpectedModelLoads expected;
-  DemandCounters demand;
+  ModelDemandCounters demand;
   SteadyTime configured_at{};       ///< When `routes` was last replaced.
   SteadyTime servers_current_at{};  ///< `servers` was complete as of this time.
   /// `routes` was the newest configuration as of this time.
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -181,7 +181,7 @@
   NoServerReason reason = NoServerReason::kNone;
   if (ServerPtr server = TryChooseServer(request, reason)) co_return server;
   const ScopedDemandCount waiting(view_.demand, request.service, request.model,
-                                  &DemandCounters::Count::waiting);
+                                  &ModelDemandCounters::Count::waiting);
   const auto began = BootClock::now();
   ++metrics_.waits_for_server;
   view_.demand_raised.NotifyAll();
@@ -306,7 +306,7 @@
                                                   GatewayRequest& request,
                                                   const ServerPtr& server) {
   const ScopedDemandCount in_flight_mark(view_.demand, request.service, request.model,
-                                         &DemandCounters::Count::in_flight);
+                                         &ModelDemandCounters::Count::in_flight);
   std::optional<QuarantineService::SuspectAttempt> trial;
   if (quarantine_.tracker().HasCase(request.fingerprint))
     trial.emplace(quarantine_, request.fingerprint, server->record().id);
--- a/test/fleet/fleet_demand_test.cc
+++ b/test/fleet/fleet_demand_test.cc
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE("Late responses are reported to the leader once, and their rate decays") {
-  DemandCounters counters;
+  ModelDemandCounters counters;
   counters.CountsOf("s", {"m", ""}).late = 3;
   const std::vector<DemandEntry> entries = counters.Take();
   REQUIRE(entries.size() == 1);
