--- a/src/common/bounded_archive.h
+++ b/src/common/bounded_archive.h
@@ -13,8 +13,8 @@
 
 /// Layouts of bodies of messages that have landed without a format of their own.
 enum class BodyLayout : std::uint8_t {
-  kWithLives,    ///< Servers and notices state a server's life.
-  kWithoutLives  ///< They do not, in the oldest builds that are read (test/fleet/golden).
+  kWithIncarnations,    ///< Servers and notices state a server's incarnation.
+  kWithoutIncarnations  ///< They do not, in the oldest builds that are read (test/fleet/golden).
 };
 
 /// Reads what cereal's PortableBinaryOutputArchive has written on a machine of the same byte order.
@@ -25,7 +25,8 @@
 class BoundedInputArchive
     : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision> {
  public:
-  explicit BoundedInputArchive(const std::string& bytes, BodyLayout layout = BodyLayout::kWithLives)
+  explicit BoundedInputArchive(const std::string& bytes,
+                               BodyLayout layout = BodyLayout::kWithIncarnations)
       : cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>(this),
         layout_(layout),
         next_(bytes.data()),
@@ -50,13 +51,13 @@
   const char* end_;
 };
 
-/// @return whether what goes through the archive states lives of servers.
+/// @return whether what goes through the archive states incarnations of servers.
 template <typename Archive>
-constexpr bool StatesLives(const Archive&) {
+constexpr bool StatesIncarnations(const Archive&) {
   return true;
 }
-inline bool StatesLives(const BoundedInputArchive& archive) {
-  return archive.layout() == BodyLayout::kWithLives;
+inline bool StatesIncarnations(const BoundedInputArchive& archive) {
+  return archive.layout() == BodyLayout::kWithIncarnations;
 }
 
 // The names by which cereal finds how its archives read.
--- a/src/fleet/fleet_controller.cc
+++ b/src/fleet/fleet_controller.cc
@@ -201,10 +201,10 @@
   // A restart invalidates the state and the orders of the earlier incarnation. Operations in
   // progress for that incarnation complete on the detached state.
   const auto found = managed_.find(record.id);
-  if (found != managed_.end() && IsLaterIncarnation(record.life, found->second->life))
+  if (found != managed_.end() && IsLaterIncarnation(record.incarnation, found->second->incarnation))
     managed_.erase(found);
   ManagedServerPtr managed = FindOrCreateManaged(record.id);
-  if (managed->life == 0) managed->life = record.life;
+  if (managed->incarnation == 0) managed->incarnation = record.incarnation;
   return managed;
 }
 
@@ -342,7 +342,7 @@
   managed.in_memory = report.in_memory;
   managed.on_disk = report.on_disk;
   managed.order_count = report.order_count;
-  if (report.life != 0) managed.life = report.life;
+  if (report.incarnation != 0) managed.incarnation = report.incarnation;
 }
 
 Awaitable<void> FleetController::QueryState(ManagedServerPtr managed, Endpoint endpoint) {
@@ -434,7 +434,7 @@
 BootClock::duration FleetController::RemainingPause(const std::string& id) const {
   const ServerPtr server = fleet_view_.servers.Find(id);
   if (server == nullptr) return {};
-  return server->standing().paused_until - BootClock::now();
+  return server->advisory_state().paused_until - BootClock::now();
 }
 
 /// Polls the server until it reports the result, then notifies the daemons.
@@ -453,13 +453,15 @@
   const SteadyTime give_up = began + step.expected + kCompletionTimeout;
   if (load)
     send_notice_({managed->id, step.name, false, std::max<std::int64_t>(1, step.expected.count()),
-                  managed->life});
+                  managed->incarnation});
   co_await Sleep(load ? step.expected : kPollInterval);
   while (BootClock::now() < give_up && fleet_view_.servers.Find(managed->id) != nullptr) {
     const std::optional<ServerStatus> report = co_await ReadReport(managed->id, endpoint);
     // The order count restarts with each incarnation, so a restarted server never reaches the old
     // count.
-    if (!IsCurrent(managed) || (report && IsLaterIncarnation(report->life, managed->life))) break;
+    if (!IsCurrent(managed) ||
+        (report && IsLaterIncarnation(report->incarnation, managed->incarnation)))
+      break;
     if (report && report->order_count >= managed->order_count && !report->busy) {
       ApplyReport(*managed, *report);
       managed->loading_model.clear();
@@ -477,7 +479,7 @@
 }
 
 void FleetController::Notify(const ManagedServer& managed, const ModelReference& name, bool held) {
-  send_notice_({managed.id, name, held, 0, managed.life});
+  send_notice_({managed.id, name, held, 0, managed.incarnation});
 }
 
 }  // namespace moorfold
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -30,7 +30,7 @@
   std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
-  std::int64_t life = 0;  ///< Incarnation of the server, see ServerRecord::life.
+  std::int64_t incarnation = 0;  ///< Incarnation of the server, see ServerRecord::incarnation.
   std::string loading_model;
   bool from_weight_store = false;  ///< Whether `loading_model` loads from the weight store.
   SteadyTime load_started{};       ///< When the load of `loading_model` began.
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -94,12 +94,12 @@
   bool held = true;
   /// If positive: the server does not hold it yet and is expected to after this time.
   std::int64_t expected_ms = 0;
-  std::int64_t life = 0;  ///< Incarnation of the server, see ServerRecord::life.
+  std::int64_t incarnation = 0;  ///< Incarnation of the server, see ServerRecord::incarnation.
 
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(server_id, name, held, expected_ms);
-    if (StatesLives(archive)) archive(life);
+    if (StatesIncarnations(archive)) archive(incarnation);
   }
 };
 
@@ -236,10 +236,10 @@
     const FormattedMessage formatted = ReadFormatted(bytes);
     Message message;
     try {
-      message = DecodeBody<Message>(formatted.body, BodyLayout::kWithLives);
+      message = DecodeBody<Message>(formatted.body, BodyLayout::kWithIncarnations);
     } catch (const std::exception&) {
       if (formatted.format > 0) throw;
-      message = DecodeBody<Message>(formatted.body, BodyLayout::kWithoutLives);
+      message = DecodeBody<Message>(formatted.body, BodyLayout::kWithoutIncarnations);
     }
     ReadAdded(message, formatted);
     return message;
--- a/src/fleet/server_record.h
+++ b/src/fleet/server_record.h
@@ -22,8 +22,8 @@
 };
 
 /// A server's own description of itself in the store. A restarted server may use the same id again.
-/// It has then loaded nothing and counts orders from zero, and only `life` distinguishes it from
-/// the process before.
+/// It has then loaded nothing and counts orders from zero, and only `incarnation` distinguishes it
+/// from the process before.
 struct ServerRecord {
   std::string id;
   std::string service;
@@ -35,8 +35,8 @@
   std::vector<LoadedModel> models;
   std::vector<std::string> in_memory;  ///< Models whose weights are in host memory.
   std::vector<std::string> on_disk;    ///< Models whose weights are on the server's disk.
-  std::int64_t life = 0;  ///< Start time that identifies the server process, in milliseconds of an
-                          ///< unspecified clock; 0: unknown.
+  std::int64_t incarnation = 0;  ///< Start time that identifies the server process, in milliseconds
+                                 ///< of an unspecified clock; 0: unknown.
 };
 
 /// A server's answer to a status request; some hundred milliseconds old.
@@ -47,13 +47,13 @@
   bool busy = false;  ///< An order is in progress.
   std::int64_t order_count = 0;
   std::vector<LoadedModel> incoming;  ///< Adapters that are being loaded.
-  std::int64_t life = 0;              ///< As in ServerRecord.
+  std::int64_t incarnation = 0;       ///< As in ServerRecord.
 };
 
-/// @return whether `life` belongs to a later start of the server than `before`; an unknown start
-/// time (0) never does.
-constexpr bool IsLaterIncarnation(std::int64_t life, std::int64_t before) {
-  return life != 0 && before != 0 && life > before;
+/// @return whether `incarnation` belongs to a later start of the server than `before`; an unknown
+/// start time (0) never does.
+constexpr bool IsLaterIncarnation(std::int64_t incarnation, std::int64_t before) {
+  return incarnation != 0 && before != 0 && incarnation > before;
 }
 
 enum class ServerOrderKind : std::uint8_t { kLoad, kUnload };
--- a/src/gateway/gateway_fleet.cc
+++ b/src/gateway/gateway_fleet.cc
@@ -48,7 +48,7 @@
 
 void Gateway::ApplyPlacementNotice(const PlacementNotice& notice) {
   const ServerPtr server = view_.servers.Find(notice.server_id);
-  if (!server || IsLaterIncarnation(server->record().life, notice.life)) return;
+  if (!server || IsLaterIncarnation(server->record().incarnation, notice.incarnation)) return;
   const auto now = BootClock::now();
   if (notice.expected_ms > 0) {
     view_.expected.Note(notice.name, {now, now + milliseconds(notice.expected_ms)});
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -82,7 +82,7 @@
   double cost = QueueMs(server, request, now) + PromptMs(server, request);
   if (server.record().zone != request.zone) cost += kOtherZoneMs;
   if (server.Suspect(now)) cost += kRecentFailureMs;
-  if (server.standing().limit_per_second) cost += kPermitRequestMs;
+  if (server.advisory_state().limit_per_second) cost += kPermitRequestMs;
   return cost + kErrorShareMs * server.error_share();
 }
 
@@ -125,7 +125,7 @@
       choice.reason = NoServerReason::kAllUnusable;
       continue;
     }
-    if (!server->standing().limit_per_second) ++unlimited;
+    if (!server->advisory_state().limit_per_second) ++unlimited;
     const double cost = CostMs(*server, request, now);
     if (choice.server && cost >= choice.cost_ms) continue;
     choice.server = server;
@@ -133,7 +133,7 @@
   }
   if (!choice.server) return choice;
   choice.reason = NoServerReason::kNone;
-  choice.has_alternative = unlimited > (choice.server->standing().limit_per_second ? 0 : 1);
+  choice.has_alternative = unlimited > (choice.server->advisory_state().limit_per_second ? 0 : 1);
   return choice;
 }
 
--- a/src/gateway/server_directory.cc
+++ b/src/gateway/server_directory.cc
@@ -97,8 +97,8 @@
 }
 
 void Server::RecordModelMissing(const ModelReference& model, SteadyTime now,
-                                std::chrono::milliseconds life) {
-  SetOverride(model, now + life, false, now);
+                                std::chrono::milliseconds lifetime) {
+  SetOverride(model, now + lifetime, false, now);
 }
 
 bool Server::Usable(SteadyTime now) const {
@@ -159,21 +159,23 @@
 
 bool ServerDirectory::Put(ServerRecord record, SteadyTime now) {
   const auto found = by_id_.find(record.id);
-  ServerAdvisoryState kept_standing;
+  ServerAdvisoryState kept_advisory_state;
   if (found != by_id_.end()) {
     const ServerPtr known = found->second;
     const ServerRecord& before = known->record();
-    if (IsLaterIncarnation(before.life, record.life)) return false;
-    if (before.service == record.service && !IsLaterIncarnation(record.life, before.life)) {
+    if (IsLaterIncarnation(before.incarnation, record.incarnation)) return false;
+    if (before.service == record.service &&
+        !IsLaterIncarnation(record.incarnation, before.incarnation)) {
       Reindex(known, record);
       known->Update(std::move(record), now);
       return true;
     }
-    if (!IsLaterIncarnation(record.life, before.life)) kept_standing = known->standing();
+    if (!IsLaterIncarnation(record.incarnation, before.incarnation))
+      kept_advisory_state = known->advisory_state();
     Remove(before.id);
   }
   auto server = std::make_shared<Server>(std::move(record));
-  server->Restore(kept_standing);
+  server->Restore(kept_advisory_state);
   by_id_[server->record().id] = server;
   by_service_[server->record().service].servers.push_back(server);
   for (const LoadedModel& held : server->record().models) Index(server, held.name);
--- a/src/gateway/server_directory.h
+++ b/src/gateway/server_directory.h
@@ -48,15 +48,17 @@
   const ServerRecord& record() const { return record_; }
   /// @return the key under which connections to this incarnation are pooled; they are not reused
   /// for a later incarnation.
-  std::string connection_key() const { return record_.id + '@' + std::to_string(record_.life); }
+  std::string connection_key() const {
+    return record_.id + '@' + std::to_string(record_.incarnation);
+  }
   void Update(ServerRecord record, SteadyTime now);
 
   bool Holds(const ModelReference& model, SteadyTime now) const;
   /// Records that the server does not serve the model although its record may list it, because an
   /// operation on the model is in progress.
-  /// @param life how long this overrides the record.
+  /// @param lifetime how long this overrides the record.
   void RecordModelMissing(const ModelReference& model, SteadyTime now,
-                          std::chrono::milliseconds life);
+                          std::chrono::milliseconds lifetime);
 
   /// Whether requests may be sent to the server: it is neither leaving, gone, full nor unreachable.
   bool Usable(SteadyTime now) const;
@@ -68,33 +70,35 @@
   void MarkGone() { gone_ = true; }
   bool gone() const { return gone_; }
   /// Whether its entry in the store or a response states that it is leaving.
-  bool ReportsLeaving() const { return record_.draining || standing_.leaving; }
+  bool ReportsLeaving() const { return record_.draining || advisory_state_.leaving; }
   /// Whether this incarnation must not receive any more requests.
   bool IsLeaving() const { return gone_ || ReportsLeaving(); }
   /// Whether it rejects requests of this daemon now, even one that was already admitted for it.
-  bool RejectsRequests(SteadyTime now) const { return IsLeaving() || now < standing_.paused_until; }
+  bool RejectsRequests(SteadyTime now) const {
+    return IsLeaving() || now < advisory_state_.paused_until;
+  }
 
   /// Applies what a response states about the server, see ServerAdvisoryState::Take.
   bool ApplyStatement(const ServerAdvisory& statement, SteadyTime sent_at, SteadyTime now,
                       bool from_run) {
-    return standing_.Take(statement, sent_at, now, from_run);
+    return advisory_state_.Take(statement, sent_at, now, from_run);
   }
-  const ServerAdvisoryState& standing() const { return standing_; }
+  const ServerAdvisoryState& advisory_state() const { return advisory_state_; }
   /// Clears the rate limit after another daemon learned that the server no longer states one.
   /// @param known_at when the other daemon learned it; a limit stated here after that time is kept.
   void ClearLimit(SteadyTime known_at) {
-    if (standing_.limit_received_at <= known_at) standing_.limit_per_second.reset();
+    if (advisory_state_.limit_received_at <= known_at) advisory_state_.limit_per_second.reset();
   }
   /// Records that the rate limit shared by all daemons is used up until then.
   void MarkAtLimit(SteadyTime until) { at_limit_until_ = until; }
   /// @return when the next request may be sent; a time in the past means now. Only meaningful for
   /// servers that are usable otherwise.
   SteadyTime NextSendTime() const {
-    const bool limited = standing_.limit_per_second.has_value();
-    return std::max(standing_.paused_until, limited ? at_limit_until_ : SteadyTime{});
+    const bool limited = advisory_state_.limit_per_second.has_value();
+    return std::max(advisory_state_.paused_until, limited ? at_limit_until_ : SteadyTime{});
   }
   /// Restores what this incarnation had stated before its entry was removed from the directory.
-  void Restore(const ServerAdvisoryState& standing) { standing_ = standing; }
+  void Restore(const ServerAdvisoryState& advisory_state) { advisory_state_ = advisory_state; }
 
   void BeginRequest() { ++in_flight_; }
   void EndRequest() { --in_flight_; }
@@ -140,7 +144,7 @@
 
   ServerRecord record_;
   std::vector<ModelOverride> overrides_;
-  ServerAdvisoryState standing_;
+  ServerAdvisoryState advisory_state_;
   bool gone_ = false;
   std::uint32_t in_flight_ = 0;
   std::uint32_t failures_in_row_ = 0;
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -32,12 +32,13 @@
 void ServerEntries::BeginGracePeriod() { grace_began_ = BootClock::now(); }
 
 void ServerEntries::Put(ServerRecord record, StoreRevision revision, bool from_restored_store) {
-  if (IsEarlierLife(record, revision)) return;
+  if (IsEarlierIncarnation(record, revision)) return;
   if (from_restored_store && DeferIfRestored(record, revision)) return;
   deferred_.erase(record.id);
   PreserveLeaving(record, revision);
   const ServerPtr known = view_.servers.Find(record.id);
-  const bool restarted = known != nullptr && IsLaterIncarnation(record.life, known->record().life);
+  const bool restarted =
+      known != nullptr && IsLaterIncarnation(record.incarnation, known->record().incarnation);
   if (known == nullptr || restarted || known->record().draining != record.draining)
     LogServer(record, revision);
   const bool reappeared = pending_removals_.erase(record.id) > 0;
@@ -46,27 +47,29 @@
   const std::string id = record.id;
   const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
   view_.servers.Put(std::move(record), BootClock::now());
-  if (removed != nullptr) view_.servers.Find(id)->Restore(removed->standing);
+  if (removed != nullptr) view_.servers.Find(id)->Restore(removed->advisory_state);
   if (!restarted) return;
   ++metrics_.servers_restarted;
   if (restart_handler_) restart_handler_(id);
 }
 
-bool ServerEntries::IsEarlierLife(const ServerRecord& record, StoreRevision revision) {
+bool ServerEntries::IsEarlierIncarnation(const ServerRecord& record, StoreRevision revision) {
   const ServerPtr known = view_.servers.Find(record.id);
-  if (known == nullptr || !IsLaterIncarnation(known->record().life, record.life)) return false;
+  if (known == nullptr || !IsLaterIncarnation(known->record().incarnation, record.incarnation))
+    return false;
   ++metrics_.previous_run_entries_ignored;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kEarlierLife)
                                      .Field(LogField::kServer, record.id)
-                                     .Field(LogField::kLife, record.life)
-                                     .Field(LogField::kBefore, known->record().life)
+                                     .Field(LogField::kLife, record.incarnation)
+                                     .Field(LogField::kBefore, known->record().incarnation)
                                      .Field(LogField::kRevision, ToString(revision)));
   return true;
 }
 
 const ServerEntries::RemovedServer* ServerEntries::FindRemoved(const ServerRecord& record) const {
   const auto found = removed_servers_.find(record.id);
-  if (found == removed_servers_.end() || IsLaterIncarnation(record.life, found->second.life))
+  if (found == removed_servers_.end() ||
+      IsLaterIncarnation(record.incarnation, found->second.incarnation))
     return nullptr;
   const bool kept = BootClock::now() - found->second.at < kRemovedServerRetention;
   return kept ? &found->second : nullptr;
@@ -86,13 +89,13 @@
   const RemovedServer* removed = known == nullptr ? FindRemoved(record) : nullptr;
   const bool left_before_removal = removed != nullptr && removed->leaving;
   const bool leaves = known != nullptr && known->ReportsLeaving() &&
-                      !IsLaterIncarnation(record.life, known->record().life);
+                      !IsLaterIncarnation(record.incarnation, known->record().incarnation);
   if (!leaves && !left_before_removal) return;
   record.draining = true;
   ++metrics_.stale_ready_states_overridden;
   // Logged once: the entry may state "ready" with each heartbeat until the store is reachable
   // again.
-  if (known != nullptr && known->standing().leaving && known->record().draining) return;
+  if (known != nullptr && known->advisory_state().leaving && known->record().draining) return;
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kServerStillLeaves)
                                      .Field(LogField::kServer, record.id)
                                      .Field(LogField::kRevision, ToString(revision)));
@@ -105,7 +108,7 @@
                  .Field(LogField::kService, record.service)
                  .Field(LogField::kAddress, ToString(record.endpoint))
                  .Field(LogField::kState, record.draining ? "draining" : "ready")
-                 .Field(LogField::kLife, record.life)
+                 .Field(LogField::kLife, record.incarnation)
                  .Field(LogField::kModels, record.models.size())
                  .Field(LogField::kRevision, ToString(revision)));
 }
@@ -152,7 +155,8 @@
   });
   if (removed_servers_.size() >= kMaxRemovedServers)
     removed_servers_.erase(removed_servers_.begin());
-  removed_servers_[record.id] = {record.life, server.ReportsLeaving(), server.standing(), now};
+  removed_servers_[record.id] = {record.incarnation, server.ReportsLeaving(),
+                                 server.advisory_state(), now};
 }
 
 void ServerEntries::ScheduleRemoval(const std::string& id) {
--- a/src/gateway/server_entries.h
+++ b/src/gateway/server_entries.h
@@ -53,9 +53,9 @@
 
  private:
   struct RemovedServer {
-    std::int64_t life = 0;
+    std::int64_t incarnation = 0;
     bool leaving = false;  ///< The server had stated that it was leaving.
-    ServerAdvisoryState standing;
+    ServerAdvisoryState advisory_state;
     SteadyTime at{};
   };
   /// An entry of a restored copy that is not applied yet.
@@ -66,7 +66,7 @@
   };
 
   /// @return whether the record is of an earlier incarnation; it is then counted and logged.
-  bool IsEarlierLife(const ServerRecord& record, StoreRevision revision);
+  bool IsEarlierIncarnation(const ServerRecord& record, StoreRevision revision);
   /// Marks the record as leaving where the same incarnation was leaving before.
   void PreserveLeaving(ServerRecord& record, StoreRevision revision);
   /// Defers an entry of a restored copy whose server was removed before.
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -180,7 +180,7 @@
   }
   ServerRecord record = change.record;
   const ServerPtr known = view_.servers.Find(record.id);
-  if (known != nullptr && !IsLaterIncarnation(record.life, known->record().life)) {
+  if (known != nullptr && !IsLaterIncarnation(record.incarnation, known->record().incarnation)) {
     record.in_memory = known->record().in_memory;
     record.on_disk = known->record().on_disk;
   }
--- a/src/relay/change_answer.cc
+++ b/src/relay/change_answer.cc
@@ -5,7 +5,7 @@
 namespace moorfold {
 
 std::size_t EncodedBytes(const ServerChange& change) {
-  constexpr std::size_t kFixedBytes = 40;  ///< Revision, life, slots, port, flags, counts.
+  constexpr std::size_t kFixedBytes = 40;  ///< Revision, incarnation, slots, port, flags, counts.
   constexpr std::size_t kLengthBytes = 8;  ///< Length prefix of each string and list.
   const auto text = [](const std::string& value) { return kLengthBytes + value.size(); };
   const ServerRecord& record = change.record;
@@ -40,7 +40,7 @@
 }  // namespace
 
 bool EqualForRouting(const ServerRecord& left, const ServerRecord& right) {
-  return left.life == right.life && left.service == right.service &&
+  return left.incarnation == right.incarnation && left.service == right.service &&
          left.endpoint == right.endpoint && left.zone == right.zone &&
          left.software_version == right.software_version && left.slots == right.slots &&
          left.draining == right.draining && left.models == right.models;
--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -38,7 +38,7 @@
   void serialize(Archive& archive) {
     archive(revision.number, gone, record.id);
     if (gone) return;
-    if (StatesLives(archive)) archive(record.life);
+    if (StatesIncarnations(archive)) archive(record.incarnation);
     archive(record.service, record.endpoint.address, record.endpoint.port, record.zone,
             record.software_version, record.slots, record.draining, record.models);
   }
--- a/src/server_limits/permit_allocator.cc
+++ b/src/server_limits/permit_allocator.cc
@@ -51,7 +51,7 @@
 PermitAllocator::Entry& PermitAllocator::FindOrCreate(const PermitRequest& request,
                                                       AllocatorRole role, Time now) {
   const Time stated_at = now - Bounded(request.age_us);
-  const auto [found, inserted] = entries_.try_emplace(Key{request.server_id, request.life});
+  const auto [found, inserted] = entries_.try_emplace(Key{request.server_id, request.incarnation});
   Entry& entry = found->second;
   entry.requested_at = now;
   if (!inserted && stated_at < entry.stated_at) return entry;
--- a/src/server_limits/permit_messages.h
+++ b/src/server_limits/permit_messages.h
@@ -11,8 +11,8 @@
   /// Time by the sender's clock; copied into the response to match it to the request.
   std::int64_t asked_at_us = 0;
   std::string server_id;
-  std::int64_t life = 0;  ///< Incarnation of the server, as in ServerRecord.
-  bool limited = true;    ///< False if the server no longer states a limit.
+  std::int64_t incarnation = 0;  ///< Incarnation of the server, as in ServerRecord.
+  bool limited = true;           ///< False if the server no longer states a limit.
   double limit_per_second = 0;
   /// Age of the stated limit at the time of sending, in microseconds: the time since the request
   /// was sent whose response stated it.
@@ -23,7 +23,7 @@
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(asked_at_us, server_id, life, limited, limit_per_second, age_us, max_wait_us);
+    archive(asked_at_us, server_id, incarnation, limited, limit_per_second, age_us, max_wait_us);
   }
 };
 
--- a/src/server_limits/permit_service.cc
+++ b/src/server_limits/permit_service.cc
@@ -34,13 +34,13 @@
   const auto now = BootClock::now();
   // asked_at_us identifies the request, so it must be unique.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
-  const ServerAdvisoryState& standing = server.standing();
+  const ServerAdvisoryState& advisory_state = server.advisory_state();
   return {last_asked_us_,
           server.record().id,
-          server.record().life,
-          standing.limit_per_second.has_value(),
-          standing.limit_per_second.value_or(0),
-          Microseconds(now - standing.limit_requested_at),
+          server.record().incarnation,
+          advisory_state.limit_per_second.has_value(),
+          advisory_state.limit_per_second.value_or(0),
+          Microseconds(now - advisory_state.limit_requested_at),
           max_wait.count()};
 }
 
@@ -71,7 +71,7 @@
 
 bool PermitService::TryFallbackPermit(Server& server) {
   const auto now = BootClock::now();
-  const double limit = server.standing().limit_per_second.value_or(0);
+  const double limit = server.advisory_state().limit_per_second.value_or(0);
   if (fallback_permits_.TryAcquire(server.record().id, limit, ports_.daemons(), now)) {
     ++counters_.fallback_permits;
     return true;
@@ -82,7 +82,7 @@
 }
 
 Awaitable<bool> PermitService::Acquire(ServerPtr server, milliseconds max_wait) {
-  if (!server->standing().limit_per_second) co_return true;
+  if (!server->advisory_state().limit_per_second) co_return true;
   const PermitRequest request = MakeRequest(*server, max_wait);
   const std::optional<PermitResponse> response = co_await RequestPermit(request);
   if (!response) co_return TryFallbackPermit(*server);
--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -197,7 +197,7 @@
   Accrue(found->second, now);
 }
 
-BootClock::duration CreditLedger::Life(const std::string& tenant) const {
+BootClock::duration CreditLedger::CreditLifetime(const std::string& tenant) const {
   const auto found = accounts_.find(tenant);
   return found == accounts_.end() ? BootClock::duration{} : found->second.lifetime;
 }
--- a/src/tenants/credit_ledger.h
+++ b/src/tenants/credit_ledger.h
@@ -95,7 +95,7 @@
   /// Returns credit that a request did not use. Credit that has expired in the meantime is dropped.
   void Refund(const std::string& tenant, Credit credit, Time now);
   /// @return The age at which a tenant's credit expires; 0 without a limit.
-  BootClock::duration Life(const std::string& tenant) const;
+  BootClock::duration CreditLifetime(const std::string& tenant) const;
   /// @return Units of credit at this daemon.
   double Units(const std::string& tenant, Time now);
   /// @return The daemon that pools a tenant's credit according to this daemon, possibly itself;
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -86,7 +86,7 @@
 }
 
 bool QuotaService::Alive(const std::string& tenant, const quota::Credit& credit) const {
-  return BootClock::now() < credit.created_at + ledger_.Life(tenant) + kHeldCreditGrace;
+  return BootClock::now() < credit.created_at + ledger_.CreditLifetime(tenant) + kHeldCreditGrace;
 }
 
 QuotaDecision QuotaService::Refuse(QuotaStatus quota_status, BootClock::duration retry_after) {
--- a/test/emulator/emulated_platform.h
+++ b/test/emulator/emulated_platform.h
@@ -77,7 +77,7 @@
  private:
   void AddServer(bool engine, std::vector<LoadedModel> models);
   /// Makes a server of the next id, for callers behind `proxy`.
-  /// @param id of a life before; empty: a new one.
+  /// @param id of an earlier incarnation; empty: a new one.
   std::unique_ptr<ServerEmulator> MakeServer(bool engine, std::vector<LoadedModel> models,
                                              const std::string& id = "");
   void Serve(std::size_t number);
--- a/test/emulator/server_emulator.h
+++ b/test/emulator/server_emulator.h
@@ -69,7 +69,7 @@
   /// entry goes after three heartbeats of silence.
   void End();
   bool ended() const { return ended_; }
-  /// Another life has its id: its entry is no longer this one's to remove.
+  /// Another incarnation has its id: its entry is no longer this one's to remove.
   void Succeeded() { succeeded_ = true; }
   /// Hears of the end, to make what callers see of it.
   void OnEnd(std::function<void()> handler) { on_end_ = std::move(handler); }
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -15,8 +15,8 @@
 
 const std::filesystem::path kGolden =
     std::filesystem::path(MOORFOLD_SOURCE_DIR) / "test/fleet/golden";
-constexpr const char* kWithoutLives = "1cbede5";
-constexpr const char* kWithLives = "f8f162a";
+constexpr const char* kWithoutIncarnations = "1cbede5";
+constexpr const char* kWithIncarnations = "f8f162a";
 constexpr const char* kFormatOne = "format-1";
 constexpr const char* kPermits =
     "permits";                             ///< Messages added with server limits, also of format 1.
@@ -72,7 +72,7 @@
     change.record.slots = 64;
     change.record.draining = true;
     change.record.models = {{"model-1", {"a1", "a2"}}};
-    change.record.life = 1'700'000'000'000;
+    change.record.incarnation = 1'700'000'000'000;
     ServerChange gone{{3, 260}, true, {}};
     gone.record.id = "i-67";
     answer.servers = {change, gone};
@@ -128,18 +128,18 @@
   for (const auto& [name, bytes] : GoldenMessages().Encoded()) {
     CAPTURE(name);
     CHECK(bytes == Load(kFormatOne, name));
-    CHECK(ReadFormatted(bytes).body == Load(kWithLives, name));
+    CHECK(ReadFormatted(bytes).body == Load(kWithIncarnations, name));
     CHECK(FormatOf(bytes) == kMessageFormat);
   }
 }
 
 TEST_CASE("This build decodes the messages of each released build") {
   const GoldenMessages golden;
-  for (const std::string build : {kWithoutLives, kWithLives, kFormatOne}) {
+  for (const std::string build : {kWithoutIncarnations, kWithIncarnations, kFormatOne}) {
     CAPTURE(build);
     const bool eras = build == kFormatOne;
     const std::int64_t era = eras ? 3 : kEraUntold;
-    const bool lives = build != kWithoutLives;
+    const bool states_incarnations = build != kWithoutIncarnations;
     const auto held = DecodeMessage<LeaderRecord>(Load(build, "leader_held"));
     CHECK(held.name == "edge-1");
     CHECK(held.settled);
@@ -160,14 +160,14 @@
     CHECK(report.quarantine_digest == golden.report.quarantine_digest);
     const auto notice = LoadMessage<PlacementNotice>(build, "placement_notice");
     CHECK(notice.expected_ms == 1'500);
-    CHECK(notice.life == (lives ? 77 : 0));
+    CHECK(notice.incarnation == (states_incarnations ? 77 : 0));
     const auto answer = LoadMessage<ChangeAnswer>(build, "change_answer");
     CHECK(answer.to_revision == StoreRevision{era, 272});
     CHECK(answer.configuration_version == 61);
     REQUIRE(answer.servers.size() == 2);
     const ServerChange& change = answer.servers[0];
     CHECK(change.revision == StoreRevision{era, 257});
-    CHECK(change.record.life == (lives ? 1'700'000'000'000 : 0));
+    CHECK(change.record.incarnation == (states_incarnations ? 1'700'000'000'000 : 0));
     CHECK(change.record.endpoint.port == 8025);
     CHECK(change.record.draining);
     CHECK(change.record.models == golden.answer.servers[0].record.models);
@@ -305,7 +305,7 @@
 
 TEST_CASE("Unknown added fields are ignored, and missing ones take their default") {
   const GoldenMessages golden;
-  const std::string body = Load(kWithLives, "demand_report");
+  const std::string body = Load(kWithIncarnations, "demand_report");
   AddedFields later;
   later.Put(1, 5);
   later.Put(900, 1);
@@ -327,7 +327,7 @@
 }
 
 TEST_CASE("Invalid messages are rejected, and their format is reported if they state one") {
-  const std::string report = Load(kWithLives, "demand_report");
+  const std::string report = Load(kWithIncarnations, "demand_report");
   CHECK_THROWS(DecodeMessage<FleetMessage>(report.substr(0, report.size() - 1)));
   CHECK_THROWS(DecodeMessage<FleetMessage>(report + "x"));
   std::string unknown_kind = report;
--- a/test/platform/protocol_test.cc
+++ b/test/platform/protocol_test.cc
@@ -73,7 +73,7 @@
   const ServerRecord record = kProtocol.ParseServer("i-1", R"({"service":"s","zone":"z",
     "address":"10.0.0.9:8080","version":"v1","slots":64,"state":"draining","models":[{"name":"m","version":1,
     "adapters":["a1"]}],"available":{"resident":["m"],"onDisk":["m","n"]},"seq":4,"born":1790000000000})");
-  CHECK(record.life == 1'790'000'000'000);
+  CHECK(record.incarnation == 1'790'000'000'000);
   CHECK(record.id == "i-1");
   CHECK(record.endpoint == Endpoint{"10.0.0.9", 8080});
   CHECK(record.draining);
@@ -81,7 +81,7 @@
   CHECK(record.on_disk.size() == 2);
   const ServerStatus status = kProtocol.ParseReport(
       R"({"models":[{"name":"m","adapters":[]}],"busy":true,"seq":2,"born":1790000000001,"incoming":["m/a3@1"]})");
-  CHECK(status.life == 1'790'000'000'001);
+  CHECK(status.incarnation == 1'790'000'000'001);
   CHECK(status.busy);
   CHECK(status.order_count == 2);
   REQUIRE(status.incoming.size() == 1);
--- a/test/server_limits/permit_model_test.cc
+++ b/test/server_limits/permit_model_test.cc
@@ -65,20 +65,20 @@
   double worst_excess() const { return worst_excess_; }
   int StillLimited() const {
     return static_cast<int>(std::count_if(daemons_.begin(), daemons_.end(), [](const Daemon& each) {
-      return each.standing.limit_per_second.has_value();
+      return each.advisory_state.limit_per_second.has_value();
     }));
   }
 
  private:
   struct Daemon {
-    ServerAdvisoryState standing;
+    ServerAdvisoryState advisory_state;
     std::optional<Time> limit_learned_at;
     Time at_limit_until{};
     Time leader_unresponsive_until{};
     FallbackPermits fallback{0};
     PermitAllocator allocator;
     int leader = 0;  ///< The leader known to this daemon.
-    int life = 0;
+    int incarnation = 0;
   };
   struct Event {
     Time at;
@@ -123,9 +123,9 @@
   }
   void RestartAll() {
     for (std::size_t number = 0; number < daemons_.size(); ++number) {
-      const int life = daemons_[number].life + 1;
+      const int incarnation = daemons_[number].incarnation + 1;
       daemons_[number] = MakeDaemon(static_cast<int>(number));
-      daemons_[number].life = life;
+      daemons_[number].incarnation = incarnation;
     }
   }
 
@@ -136,7 +136,7 @@
     const double pause = std::exponential_distribution<double>(1 / mean_s)(random_);
     Schedule(std::chrono::duration_cast<BootClock::duration>(std::chrono::duration<double>(pause)),
              [this, number] { ArriveRequest(number); });
-    if (!daemon.standing.limit_per_second) {
+    if (!daemon.advisory_state.limit_per_second) {
       Send(number);
       return;
     }
@@ -154,26 +154,28 @@
         "i",
         0,
         true,
-        *daemon.standing.limit_per_second,
-        std::chrono::duration_cast<microseconds>(now_ - daemon.standing.limit_requested_at).count(),
+        *daemon.advisory_state.limit_per_second,
+        std::chrono::duration_cast<microseconds>(now_ - daemon.advisory_state.limit_requested_at)
+            .count(),
         0};
-    const int life = daemon.life;
+    const int incarnation = daemon.incarnation;
     const auto completed = std::make_shared<bool>(false);
-    Schedule(kResponseTimeout, [this, number, life, completed] {
+    Schedule(kResponseTimeout, [this, number, incarnation, completed] {
       Daemon& asker = daemons_[static_cast<std::size_t>(number)];
-      if (*completed || asker.life != life) return;
+      if (*completed || asker.incarnation != incarnation) return;
       *completed = true;
       asker.leader_unresponsive_until = now_ + kUnresponsiveLeaderPause;
       TryFallbackPermit(number);
     });
     if (Chance(faults_.loss)) return;
-    Schedule(Draw(10), [this, number, life, completed, request, leader] {
+    Schedule(Draw(10), [this, number, incarnation, completed, request, leader] {
       Daemon& allocator = daemons_[static_cast<std::size_t>(leader)];
       if (leader_ < 0) return;  // The leader has been killed.
       const PermitResponse response = allocator.allocator.Allocate(request, RoleOf(leader), now_);
       if (Chance(faults_.loss)) return;
-      Schedule(Draw(10), [this, number, life, completed, response] {
-        if (*completed || daemons_[static_cast<std::size_t>(number)].life != life) return;
+      Schedule(Draw(10), [this, number, incarnation, completed, response] {
+        if (*completed || daemons_[static_cast<std::size_t>(number)].incarnation != incarnation)
+          return;
         *completed = true;
         HandleResponse(number, response);
       });
@@ -187,15 +189,16 @@
     } else if (response.verdict == PermitVerdict::kDenied) {
       daemon.at_limit_until = now_ + microseconds(response.wait_us);
     } else {
-      if (response.verdict == PermitVerdict::kUnlimited) daemon.standing.limit_per_second.reset();
+      if (response.verdict == PermitVerdict::kUnlimited)
+        daemon.advisory_state.limit_per_second.reset();
       Send(number);
     }
   }
   void TryFallbackPermit(int number) {
     Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
     const auto fleet = static_cast<std::uint32_t>(daemons_.size());
-    if (!daemon.standing.limit_per_second) return;
-    if (daemon.fallback.TryAcquire("i", *daemon.standing.limit_per_second, fleet, now_))
+    if (!daemon.advisory_state.limit_per_second) return;
+    if (daemon.fallback.TryAcquire("i", *daemon.advisory_state.limit_per_second, fleet, now_))
       Send(number);
     else
       daemon.at_limit_until = now_ + kFallbackRetryPause;
@@ -207,14 +210,14 @@
       Count(number);
       ServerAdvisory statement;
       statement.limit_per_second = limit_;
-      const int life = daemons_[static_cast<std::size_t>(number)].life;
-      Schedule(Draw(300), [this, number, life, sent_at, statement] {
+      const int incarnation = daemons_[static_cast<std::size_t>(number)].incarnation;
+      Schedule(Draw(300), [this, number, incarnation, sent_at, statement] {
         Daemon& daemon = daemons_[static_cast<std::size_t>(number)];
-        if (daemon.life != life) return;
-        const bool limited = daemon.standing.limit_per_second.has_value();
-        daemon.standing.Take(statement, sent_at, now_, true);
+        if (daemon.incarnation != incarnation) return;
+        const bool limited = daemon.advisory_state.limit_per_second.has_value();
+        daemon.advisory_state.Take(statement, sent_at, now_, true);
         if (statement.limit_per_second && !daemon.limit_learned_at) daemon.limit_learned_at = now_;
-        if (limited && !daemon.standing.limit_per_second) ReportLimitRemoved(number);
+        if (limited && !daemon.advisory_state.limit_per_second) ReportLimitRemoved(number);
       });
     });
   }
