--- a/src/fleet/demand_channel.cc
+++ b/src/fleet/demand_channel.cc
@@ -88,7 +88,7 @@
     handlers_.on_servers_question(*servers_question, from);
   } else if (const auto* servers_page = std::get_if<ServersPage>(&message)) {
     handlers_.on_servers_page(*servers_page, from);
-  } else if (const auto* configuration_question = std::get_if<ConfigurationRequest>(&message)) {
+  } else if (const auto* configuration_question = std::get_if<ConfigurationPartRequest>(&message)) {
     handlers_.on_configuration_question(*configuration_question, from);
   } else if (const auto* configuration_part = std::get_if<ConfigurationPart>(&message)) {
     handlers_.on_configuration_part(*configuration_part, from);
--- a/src/fleet/demand_channel.h
+++ b/src/fleet/demand_channel.h
@@ -42,7 +42,7 @@
       std::function<void(const ServersRequest&, const std::string& from)>;
   using ServersPageHandler = std::function<void(const ServersPage&, const std::string& from)>;
   using ConfigurationQuestionHandler =
-      std::function<void(const ConfigurationRequest&, const std::string& from)>;
+      std::function<void(const ConfigurationPartRequest&, const std::string& from)>;
   using ConfigurationPartHandler =
       std::function<void(const ConfigurationPart&, const std::string& from)>;
   /// @param from "IP:PORT" of the sender.
--- a/src/fleet/fleet_messages.h
+++ b/src/fleet/fleet_messages.h
@@ -117,7 +117,7 @@
 /// not know the last two ignore them, so their queries get no response.
 using FleetMessage = std::variant<DemandReport, PlacementNotice, ChangeAnswer, LeadershipOffer,
                                   QuarantineNotice, CreditSharing, CreditQuestion, CreditAnswer,
-                                  RelayPlan, ServersRequest, ServersPage, ConfigurationRequest,
+                                  RelayPlan, ServersRequest, ServersPage, ConfigurationPartRequest,
                                   ConfigurationPart, PermitRequest, PermitResponse>;
 
 template <typename Archive>
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -145,7 +145,7 @@
                 [this](const ServersPage& page, const std::string& from) {
                   relays_.HandleServersPage(page, from);
                 },
-                [this](const ConfigurationRequest& question, const std::string& from) {
+                [this](const ConfigurationPartRequest& question, const std::string& from) {
                   relays_.AnswerConfigurationQuestion(question, from);
                 },
                 [this](const ConfigurationPart& part, const std::string& from) {
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -173,7 +173,7 @@
   }
 }
 
-void RelayService::AnswerConfigurationQuestion(const ConfigurationRequest& question,
+void RelayService::AnswerConfigurationQuestion(const ConfigurationPartRequest& question,
                                                const std::string& from) {
   if (const std::optional<ConfigurationPart> part = view_.MakeConfigurationPart(question))
     ports_.send(from, *part);
@@ -194,7 +194,7 @@
     sources_.RecordRequest(now);
     ports_.send(relay, *servers);
   }
-  if (const std::optional<ConfigurationRequest> text = view_.NextConfigurationQuestion())
+  if (const std::optional<ConfigurationPartRequest> text = view_.NextConfigurationQuestion())
     ports_.send(relay, *text);
   if (!view_.FetchesServers() && !view_.FetchesConfiguration()) return;
   retry_timer_.expires_after(kRetryInterval);
--- a/src/gateway/relay_service.h
+++ b/src/gateway/relay_service.h
@@ -69,7 +69,8 @@
   bool TakeAnswer(const ChangeAnswer& answer, const std::string& from);
   void AnswerServersQuestion(const ServersRequest& question, const std::string& from);
   void HandleServersPage(const ServersPage& page, const std::string& from);
-  void AnswerConfigurationQuestion(const ConfigurationRequest& question, const std::string& from);
+  void AnswerConfigurationQuestion(const ConfigurationPartRequest& question,
+                                   const std::string& from);
   void HandleConfigurationPart(const ConfigurationPart& part, const std::string& from);
   /// Sends the questions that are due: for servers or a configuration that are to be fetched from a
   /// relay and were not requested yet, or whose request was not answered.
--- a/src/gateway/store_view.h
+++ b/src/gateway/store_view.h
@@ -79,10 +79,10 @@
   /// @return whether the last read of the store succeeded; true before the first one.
   bool StoreReachable() const { return failed_reads_ == 0; }
   /// @return the question for a part of the configuration, if it is to be fetched from a relay.
-  std::optional<ConfigurationRequest> NextConfigurationQuestion();
+  std::optional<ConfigurationPartRequest> NextConfigurationQuestion();
   /// @return the requested part; nothing if this daemon does not hold that configuration.
   std::optional<ConfigurationPart> MakeConfigurationPart(
-      const ConfigurationRequest& question) const;
+      const ConfigurationPartRequest& question) const;
   /// Applies a part of the configuration that a relay sent.
   void ApplyConfigurationPart(const ConfigurationPart& part);
   /// @return whether the configuration is being fetched from a relay.
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -102,7 +102,7 @@
   return taken;
 }
 
-std::optional<ConfigurationRequest> StoreView::NextConfigurationQuestion() {
+std::optional<ConfigurationPartRequest> StoreView::NextConfigurationQuestion() {
   if (follow::WantsConfiguration(state_) && announced_version_ > Version())
     configuration_reader_.Want(announced_version_);
   else
@@ -111,7 +111,7 @@
 }
 
 std::optional<ConfigurationPart> StoreView::MakeConfigurationPart(
-    const ConfigurationRequest& question) const {
+    const ConfigurationPartRequest& question) const {
   if (question.version != Version()) return std::nullopt;
   return PartOf(configuration_bytes_, configuration_entry_revision_, question);
 }
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationRequest& request) {
+                                        const ConfigurationPartRequest& request) {
   const std::size_t begin = request.part * kMaxPartBytes;
   if (begin >= text.size()) return std::nullopt;
   ConfigurationPart part;
@@ -39,11 +39,11 @@
   version_ = version;
 }
 
-std::optional<ConfigurationRequest> ConfigurationReader::Due(Time now) {
+std::optional<ConfigurationPartRequest> ConfigurationReader::Due(Time now) {
   if (!running()) return std::nullopt;
   if (asked_at_ != Time{} && now - asked_at_ < kRetryInterval) return std::nullopt;
   asked_at_ = now;
-  return ConfigurationRequest{version_, next_part_};
+  return ConfigurationPartRequest{version_, next_part_};
 }
 
 std::optional<ConfigurationReader::Text> ConfigurationReader::Take(const ConfigurationPart& part) {
--- a/src/relay/configuration_reader.h
+++ b/src/relay/configuration_reader.h
@@ -12,7 +12,7 @@
 /// @return the requested part of the text; nullopt if there is no such part.
 /// @param revision of the store entry that holds this text.
 std::optional<ConfigurationPart> PartOf(const std::string& text, StoreRevision revision,
-                                        const ConfigurationRequest& request);
+                                        const ConfigurationPartRequest& request);
 
 /// Fetches the text of one configuration version from relays, part by part. Accepts only a complete
 /// text that matches the digest carried in each part. No I/O; not thread-safe.
@@ -30,7 +30,7 @@
   void Stop() { *this = ConfigurationReader(); }
   bool running() const { return version_ >= 0; }
   /// @return the request to send now, if any.
-  std::optional<ConfigurationRequest> Due(Time now);
+  std::optional<ConfigurationPartRequest> Due(Time now);
   /// @return the complete text after its last part; nullopt before.
   std::optional<Text> Take(const ConfigurationPart& part);
 
--- a/src/relay/relay_messages.h
+++ b/src/relay/relay_messages.h
@@ -117,7 +117,7 @@
 };
 
 /// Sent by a daemon to a relay: requests one part of the text of a configuration version.
-struct ConfigurationRequest {
+struct ConfigurationPartRequest {
   std::int64_t version = 0;
   std::uint32_t part = 0;  ///< Zero-based index.
 
--- a/test/fleet/golden_messages_test.cc
+++ b/test/fleet/golden_messages_test.cc
@@ -230,7 +230,7 @@
   RelayPlan plan;
   ServersRequest servers_question;
   ServersPage page;
-  ConfigurationRequest configuration_question;
+  ConfigurationPartRequest configuration_question;
   ConfigurationPart text;
 };
 
@@ -254,7 +254,7 @@
   CHECK(page.more);
   CHECK(page.configuration_version == 61);
   CHECK(page.servers.at(0).record.models == golden.page.servers[0].record.models);
-  CHECK(LoadMessage<ConfigurationRequest>(kRelays, "configuration_question").part == 2);
+  CHECK(LoadMessage<ConfigurationPartRequest>(kRelays, "configuration_question").part == 2);
   const auto text = LoadMessage<ConfigurationPart>(kRelays, "configuration_part");
   CHECK(text.revision == StoreRevision{3, 255});
   CHECK(text.bytes == "{}");
--- a/test/relay/configuration_reader_test.cc
+++ b/test/relay/configuration_reader_test.cc
@@ -20,7 +20,7 @@
   Reading() { reader.Want(kVersion); }
   /// Sends one request and takes the answer of a relay that has `text`.
   std::optional<ConfigurationReader::Text> Exchange(const std::string& text) {
-    const std::optional<ConfigurationRequest> request = reader.Due(now);
+    const std::optional<ConfigurationPartRequest> request = reader.Due(now);
     REQUIRE(request);
     const std::optional<ConfigurationPart> part = PartOf(text, kRevision, *request);
     REQUIRE(part);
@@ -52,7 +52,7 @@
 
 TEST_CASE("A text that does not match its digest is rejected") {
   Reading reading;
-  const std::optional<ConfigurationRequest> request = reading.reader.Due(reading.now);
+  const std::optional<ConfigurationPartRequest> request = reading.reader.Due(reading.now);
   std::optional<ConfigurationPart> part = PartOf("{}", kRevision, *request);
   REQUIRE(part);
   CHECK_FALSE(part->more);
@@ -63,7 +63,7 @@
 
 TEST_CASE("A missing part is requested again; parts that were not requested are ignored") {
   Reading reading;
-  const std::optional<ConfigurationRequest> first = reading.reader.Due(reading.now);
+  const std::optional<ConfigurationPartRequest> first = reading.reader.Due(reading.now);
   REQUIRE(first);
   CHECK_FALSE(reading.reader.Due(reading.now + milliseconds(100)));
   CHECK(reading.reader.Due(reading.now + milliseconds(200)));
