--- a/src/fleet/leader_election.cc
+++ b/src/fleet/leader_election.cc
@@ -116,12 +116,12 @@
   if (leader_ && leader_->released)
     campaign_not_before_ = BootClock::now() + kOfferedDaemonHeadStart + Jitter();
   key_known_ = true;
-  const bool another = leader_ && leader_->name != settings_.name;
-  if (another && revision > claim_revision_) window_.NoteOtherLeader();
-  const bool ours = leader_ && lease_.exists() && leader_lease_ == lease_;
-  if (ours && window_.leading()) record_revision_ = std::max(record_revision_, revision);
-  if (window_.leading() && !ours) Lose("the leader key is held by another machine or gone");
-  if (ours && !window_.leading() && !claim_in_progress_) Won(entry->mod_revision);
+  const bool other_leader = leader_ && leader_->name != settings_.name;
+  if (other_leader && revision > claim_revision_) window_.NoteOtherLeader();
+  const bool is_own_key = leader_ && lease_.exists() && leader_lease_ == lease_;
+  if (is_own_key && window_.leading()) record_revision_ = std::max(record_revision_, revision);
+  if (window_.leading() && !is_own_key) Lose("the leader key is held by another machine or gone");
+  if (is_own_key && !window_.leading() && !claim_in_progress_) Won(entry->mod_revision);
   const std::string name = leader_ ? leader_->name : "none";
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kLeaderSeen)
                                      .Field(LogField::kLeader, name)
@@ -388,9 +388,9 @@
 void LeaderElection::ReleaseAtCurrentRevision(int attempts_left, std::function<void()> done) {
   store_.Range({settings_.key, ""},
                [this, attempts_left, done = std::move(done)](const Outcome<RangeResult>& read) {
-                 const bool ours = read.ok() && !read.value().entries.empty() &&
-                                   read.value().entries.front().lease == lease_;
-                 if (!ours) {
+                 const bool is_own_key = read.ok() && !read.value().entries.empty() &&
+                                         read.value().entries.front().lease == lease_;
+                 if (!is_own_key) {
                    done();
                    return;
                  }
--- a/src/fleet/placement_planner.cc
+++ b/src/fleet/placement_planner.cc
@@ -15,7 +15,7 @@
 /// Request-seconds that an eviction costs in addition to the victim's value: the server takes no
 /// other order meanwhile and drops the victim's cached prompts, and other servers may lack the
 /// victim. This cost raises the share of the attainable response value from 0.744 to 0.767, a gain
-/// of 0.023 (days of one deployment). The value is not tuned.
+/// of 0.023 (days of one deployment).
 constexpr double kEvictionOverhead = 2.5;
 /// Request-seconds per second that a fleet loses while none of its servers accepts orders. A server
 /// that loads from the weight store accepts none for seconds and costs its share; in a large fleet
@@ -359,11 +359,11 @@
     return;
   }
   ModelReference victim;
-  double least = RequestRateOf(name);
+  double lowest_rate = RequestRateOf(name);
   for (const LoadedModel& held : best->models)
     for (const std::string& adapter : held.adapters)
-      if (const double rate = RequestRateOf({held.name, adapter}); rate < least) {
-        least = rate;
+      if (const double rate = RequestRateOf({held.name, adapter}); rate < lowest_rate) {
+        lowest_rate = rate;
         victim = {held.name, adapter};
       }
   if (victim.model.empty()) return;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -401,12 +401,12 @@
 }
 
 void Gateway::RecordStall(BootClock::time_point due) {
-  const auto late = std::chrono::duration_cast<milliseconds>(BootClock::now() - due);
-  if (late < kStallThreshold) return;
+  const auto delay = std::chrono::duration_cast<milliseconds>(BootClock::now() - due);
+  if (delay < kStallThreshold) return;
   ++metrics_.stalls;
-  metrics_.longest_stall_ms = std::max<std::int64_t>(metrics_.longest_stall_ms, late.count());
+  metrics_.longest_stall_ms = std::max<std::int64_t>(metrics_.longest_stall_ms, delay.count());
   log_.Write(LogRank::kDecision, EventLine(LogEvent::kStalled)
-                                     .Field(LogField::kMs, late.count())
+                                     .Field(LogField::kMs, delay.count())
                                      .Field(LogField::kConfigurationAgeMs,
                                             MillisecondsSince(view_.configuration_current_at)));
 }
--- a/src/gateway/internal_keys.cc
+++ b/src/gateway/internal_keys.cc
@@ -5,8 +5,9 @@
 namespace moorfold {
 
 const InternalKeys::Subscription* InternalKeys::Find(const std::string& key) const {
-  const auto subscription = std::find_if(subscriptions_.begin(), subscriptions_.end(),
-                                         [&](const Subscription& each) { return each.key == key; });
+  const auto subscription =
+      std::find_if(subscriptions_.begin(), subscriptions_.end(),
+                   [&](const Subscription& candidate) { return candidate.key == key; });
   return subscription == subscriptions_.end() ? nullptr : &*subscription;
 }
 
--- a/src/gateway/quarantine_api.cc
+++ b/src/gateway/quarantine_api.cc
@@ -27,9 +27,9 @@
 HttpResponse List(const QuarantineService& quarantine) {
   std::string text;
   std::size_t listed = 0;
-  for (const quarantine::ListedCase& each : quarantine.tracker().List(BootClock::now())) {
+  for (const quarantine::ListedCase& listed_case : quarantine.tracker().List(BootClock::now())) {
     if (listed++ == kMaxListed) break;
-    text += Line(each);
+    text += Line(listed_case);
   }
   return Text(http_status::kOk, text);
 }
--- a/src/gateway/relay_service.cc
+++ b/src/gateway/relay_service.cc
@@ -93,8 +93,7 @@
 void RelayService::MakePlan(Time now) {
   if (leading_since_ == Time{}) leading_since_ = now;
   RelayPlan next = planner_.Plan(plan_, leading_since_, now);
-  // A daemon that knows a later plan, from a leader that this one never heard of, would ignore this
-  // plan.
+  // A daemon that knows a later plan, from a leader unknown to this one, would ignore this plan.
   const bool superseded = plan_.number > 0 && newest_plan_number_ > plan_.number;
   if (next.number == plan_.number && !superseded) return;
   next.number = std::max(next.number, newest_plan_number_ + 1);
@@ -151,9 +150,10 @@
 }
 
 bool RelayService::AcceptFromRelay(const std::string& from) {
-  const bool known = sources_.Contains(from);
-  if (!known) ports_.dropped("an answer from a daemon that is not one of the relays to ask", from);
-  return known;
+  const bool is_source = sources_.Contains(from);
+  if (!is_source)
+    ports_.dropped("an answer from a daemon that is not one of the relays to ask", from);
+  return is_source;
 }
 
 void RelayService::HandleServersPage(const ServersPage& page, const std::string& from) {
--- a/src/gateway/request_admission.cc
+++ b/src/gateway/request_admission.cc
@@ -52,20 +52,20 @@
   const TenantDirectory& tenants = request.table->tenants();
   request.strip_credentials = !tenants.empty();
   if (tenants.empty() || request.route->open) return std::nullopt;
-  const PresentedKey shown = ParsePresentedKey(http.headers);
-  if (shown.state == KeyState::kUnreadable)
+  const PresentedKey presented_key = ParsePresentedKey(http.headers);
+  if (presented_key.state == KeyState::kUnreadable)
     return Refusal{http_status::kUnauthorized, EndReason::kKeyUnreadable,
                    "send one header 'Authorization: Bearer KEY'", false, 0};
-  if (shown.state == KeyState::kNone)
+  if (presented_key.state == KeyState::kNone)
     return UnlessConfigurationStale({http_status::kUnauthorized, EndReason::kKeyMissing,
                                      "send 'Authorization: Bearer KEY'; keys in URLs are not read",
                                      false, 0});
-  const Tenant* tenant = tenants.Find(shown.digest);
+  const Tenant* tenant = tenants.Find(presented_key.digest);
   if (tenant == nullptr)
     return UnlessConfigurationStale({http_status::kUnauthorized, EndReason::kKeyUnknown,
                                      "no tenant has this key; ask the operator for one", false, 0});
   request.tenant = tenant;
-  request.key = shown.digest;
+  request.key = presented_key.digest;
   request.priority = tenant->priority.value_or(request.route->priority);
   const std::optional<double> units =
       CountQuotaUnits(tenant->limit, http.headers, protocol_.headers().token_usage);
--- a/src/gateway/request_pipeline.cc
+++ b/src/gateway/request_pipeline.cc
@@ -212,9 +212,10 @@
   const bool limited = request.route->type == RouteType::kRepeatable && MayRetryElsewhere(request);
   if (!limited) return request.expires_at;
   const auto now = BootClock::now();
-  const auto half = std::chrono::duration_cast<BootClock::duration>((request.expires_at - now) *
-                                                                    kRemainingTimeShare);
-  return now + std::min<BootClock::duration>(half, request.route->target * kTargetsPerAttempt);
+  const auto remaining_share = std::chrono::duration_cast<BootClock::duration>(
+      (request.expires_at - now) * kRemainingTimeShare);
+  return now +
+         std::min<BootClock::duration>(remaining_share, request.route->target * kTargetsPerAttempt);
 }
 
 RequestPipeline::NextStep RequestPipeline::DecideNextStep(const GatewayRequest& request,
@@ -274,9 +275,10 @@
   const SteadyTime wait_until = std::min(request.expires_at, request.arrival + credit_wait);
   // Requests of one tenant are ordered by route priority: the tenant's priority is the same for
   // all of them.
-  const quota::CreditDemand wish{request.tenant->name, request.units, request.route->priority,
-                                 std::max(BootClock::duration{}, wait_until - BootClock::now())};
-  const QuotaDecision decision = co_await quota_.Acquire(wish);
+  const quota::CreditDemand credit_demand{
+      request.tenant->name, request.units, request.route->priority,
+      std::max(BootClock::duration{}, wait_until - BootClock::now())};
+  const QuotaDecision decision = co_await quota_.Acquire(credit_demand);
   if (decision.quota_status == QuotaStatus::kGranted) {
     request.credit = decision.credit;
     co_return true;
@@ -307,9 +309,9 @@
                                                   const ServerPtr& server) {
   const ScopedDemandCount in_flight_mark(view_.demand, request.service, request.model,
                                          &ModelDemandCounters::Count::in_flight);
-  std::optional<QuarantineService::SuspectAttempt> trial;
+  std::optional<QuarantineService::SuspectAttempt> suspect_attempt;
   if (quarantine_.tracker().HasCase(request.fingerprint))
-    trial.emplace(quarantine_, request.fingerprint, server->record().id);
+    suspect_attempt.emplace(quarantine_, request.fingerprint, server->record().id);
   const bool last = !MayRetryElsewhere(request);
   const SteadyTime sent_at = BootClock::now();
   AttemptResult result =
--- a/src/gateway/server_choice.cc
+++ b/src/gateway/server_choice.cc
@@ -104,8 +104,8 @@
 ServerChoice ChooseServer(const ServerDirectory& directory, const ServerChoiceRequest& request,
                           SteadyTime now) {
   ServerChoice choice;
-  const bool known = !directory.Of(request.service).empty();
-  choice.reason = known ? NoServerReason::kModelNotHeld : NoServerReason::kUnknownService;
+  const bool service_known = !directory.Of(request.service).empty();
+  choice.reason = service_known ? NoServerReason::kModelNotHeld : NoServerReason::kUnknownService;
   const bool of_model = !request.model.model.empty();
   int unlimited = 0;  ///< Usable servers without a stated limit.
   for (const ServerPtr& server :
--- a/src/gateway/server_entries.cc
+++ b/src/gateway/server_entries.cc
@@ -71,8 +71,8 @@
   if (found == removed_servers_.end() ||
       IsLaterIncarnation(record.incarnation, found->second.incarnation))
     return nullptr;
-  const bool kept = BootClock::now() - found->second.at < kRemovedServerRetention;
-  return kept ? &found->second : nullptr;
+  const bool is_retained = BootClock::now() - found->second.at < kRemovedServerRetention;
+  return is_retained ? &found->second : nullptr;
 }
 
 bool ServerEntries::DeferIfRestored(const ServerRecord& record, StoreRevision revision) {
--- a/src/gateway/store_view.cc
+++ b/src/gateway/store_view.cc
@@ -217,8 +217,8 @@
     ApplyEntry(entry);
   }
   internal_keys_.RemoveMissing(listed, listing.revision);
-  const bool shown = listed.contains(protocol_.layout().configuration_key);
-  if (Version() >= 0 && !shown) MarkConfigurationUncertain();
+  const bool configuration_listed = listed.contains(protocol_.layout().configuration_key);
+  if (Version() >= 0 && !configuration_listed) MarkConfigurationUncertain();
 }
 
 void StoreView::ApplyServers(const RangeResult& listing) {
@@ -335,8 +335,8 @@
   metrics_.store_era = revision.era;
   metrics_.store_revision_read = revision.number;
   const StoreRevision before = revision_before_read_;
-  const bool back = revision < before || (before.number > 0 && revision.era > before.era);
-  if (!back) return;
+  const bool went_back = revision < before || (before.number > 0 && revision.era > before.era);
+  if (!went_back) return;
   ++metrics_.store_went_back;
   log_.Write(LogRank::kFailure, EventLine(LogEvent::kStoreWentBack)
                                     .Field(LogField::kRead, ToString(state_.reading))
@@ -391,14 +391,14 @@
 void StoreView::ApplyConfiguration(const KeyValue& entry) {
   auto configuration =
       std::make_shared<const RoutingConfiguration>(protocol_.ParseConfiguration(entry.value));
-  const std::int64_t held = Version();
+  const std::int64_t current_version = Version();
   configuration_entry_revision_ = entry.mod_revision;
-  const bool newer = configuration->version > held;
+  const bool newer = configuration->version > current_version;
   if (newer) {
     view_.routes = std::make_shared<const RouteTable>(configuration);
     configuration_bytes_ = entry.value;
   }
-  if (configuration->version < held) {
+  if (configuration->version < current_version) {
     // The store holds an older version than the one in use, which is therefore not known to be the
     // newest until the store has it again.
     MarkConfigurationUncertain();
@@ -413,13 +413,13 @@
   log_.Write(LogRank::kDecision,
              EventLine(LogEvent::kConfiguration)
                  .Field(LogField::kVersion, configuration->version)
-                 .Field(LogField::kBefore, held)
+                 .Field(LogField::kBefore, current_version)
                  .Field(LogField::kRoutes, configuration->routes.size())
                  .Field(LogField::kReadMs, MillisecondsBetween(read_began, view_.configured_at))
                  .Field(LogField::kConfigurationAgeMs,
-                        held < 0 ? 0
-                                 : MillisecondsBetween(view_.configuration_current_at,
-                                                       view_.configured_at))
+                        current_version < 0 ? 0
+                                            : MillisecondsBetween(view_.configuration_current_at,
+                                                                  view_.configured_at))
                  .Field(LogField::kRevision, ToString(entry.mod_revision)));
   configuration_handler_(*configuration);
 }
@@ -438,10 +438,10 @@
 }
 
 void StoreView::RecordContact(SteadyTime current_at) {
-  const auto silence = current_at - last_contact_;
+  const auto contact_gap = current_at - last_contact_;
   // Without a failed read, the usual time between two reads does not indicate an outage.
   const auto outage = failed_reads_ > 0 ? kMinOutage : kMinOutage + settings_.max_age;
-  if (ever_connected_ && silence > outage) servers_.BeginGracePeriod();
+  if (ever_connected_ && contact_gap > outage) servers_.BeginGracePeriod();
   if (!store_connected_)
     log_.Write(LogRank::kDecision,
                EventLine(LogEvent::kStoreInTouch)
--- a/src/gateway/store_view_relay.cc
+++ b/src/gateway/store_view_relay.cc
@@ -32,8 +32,8 @@
   // A follower treats the version in the answer as the newest as of the revision in the answer. A
   // question without an era comes from a daemon that cannot judge the validity of an answer, so it
   // is declined and that daemon reads the store itself.
-  const bool understood = question.revision.era != kEraUntold;
-  answer.relays = understood && CanServe();
+  const bool era_supported = question.revision.era != kEraUntold;
+  answer.relays = era_supported && CanServe();
   if (!answer.relays) return answer;
   const SteadyTime current_at = std::min(state_.current_at, view_.configuration_current_at);
   answer.age_us = Microseconds(BootClock::now() - current_at);
--- a/src/quarantine/crash_tracker.cc
+++ b/src/quarantine/crash_tracker.cc
@@ -289,13 +289,13 @@
 
 bool CrashTracker::MergeUpdate(Case& tracked, const CaseUpdate& update, Time now) {
   bool changed = false;
-  for (const ClearanceReport& each : update.clearances) {
-    const Clearance clearance{each.version, now - Milliseconds(each.age_ms)};
+  for (const ClearanceReport& report : update.clearances) {
+    const Clearance clearance{report.version, now - Milliseconds(report.age_ms)};
     changed = AddClearance(update.fingerprint, tracked, clearance) || changed;
   }
-  for (const CrashReport& each : update.crashes) {
-    if (each.age_ms >= settings_.retention.count()) continue;
-    const Crash crash{each.server_id, each.version, now - Milliseconds(each.age_ms)};
+  for (const CrashReport& report : update.crashes) {
+    if (report.age_ms >= settings_.retention.count()) continue;
+    const Crash crash{report.server_id, report.version, now - Milliseconds(report.age_ms)};
     changed = AddCrash(update.fingerprint, tracked, crash, now) || changed;
   }
   for (const std::string& version : update.quarantined_versions) {
@@ -449,10 +449,10 @@
   for (const auto& [fingerprint, tracked] : cases_)
     if (tracked.digest_part != 0) all.push_back(fingerprint);
   std::sort(all.begin(), all.end());
-  std::vector<Fingerprint> some;
+  std::vector<Fingerprint> selected;
   for (std::size_t taken = 0; taken < std::min(max_count, all.size()); ++taken)
-    some.push_back(all[cursor++ % all.size()]);
-  return some;
+    selected.push_back(all[cursor++ % all.size()]);
+  return selected;
 }
 
 }  // namespace moorfold::quarantine
--- a/src/quarantine/quarantine_service.cc
+++ b/src/quarantine/quarantine_service.cc
@@ -177,7 +177,7 @@
   const auto now = BootClock::now();
   Apply(tracker_.Reduce(quarantine::Tick{}, now), true);
   std::erase_if(recently_observed_,
-                [&](const auto& each) { return now - each.second > kRepeatPeriod; });
+                [&](const auto& observation) { return now - observation.second > kRepeatPeriod; });
   if (recently_observed_.empty()) return;
   std::vector<Fingerprint> repeated;
   for (const auto& [fingerprint, at] : recently_observed_) {
--- a/src/relay/configuration_reader.cc
+++ b/src/relay/configuration_reader.cc
@@ -53,8 +53,8 @@
   bytes_ += part.bytes;
   ++next_part_;
   const bool another = part.digest != digest_;
-  const bool broken = !part.more && DigestOf(bytes_, version_) != digest_;
-  if (another || broken) {
+  const bool digest_mismatch = !part.more && DigestOf(bytes_, version_) != digest_;
+  if (another || digest_mismatch) {
     const std::int64_t version = version_;
     Stop();
     Want(version);
--- a/src/relay/follow_state.cc
+++ b/src/relay/follow_state.cc
@@ -33,12 +33,12 @@
 }
 
 void ApplyServers(State& state, const ReadEnded& read, Time since) {
-  const bool lists = ListsServers(state.reading);
+  const bool lists_servers = ListsServers(state.reading);
   if (read.change_bytes && state.listed)
     state.change_bytes_per_s = *read.change_bytes / SecondsBetween(state.current_at, since);
   // A listing is complete, so it replaces the previous revision even if that was higher.
-  state.revision = lists ? read.revision : std::max(state.revision, read.revision);
-  state.listed = state.listed || lists;
+  state.revision = lists_servers ? read.revision : std::max(state.revision, read.revision);
+  state.listed = state.listed || lists_servers;
   state.partially_updated = false;
   state.current_at = std::max(state.current_at, since);
   state.changes_unavailable = false;
@@ -212,14 +212,14 @@
 
 /// @return when to read servers from the store.
 Time ServersDue(const Settings& settings, const State& state) {
-  const Time heard = std::max(state.watcher_heard_at, state.relays_known_since);
+  const Time relay_wait_start = std::max(state.watcher_heard_at, state.relays_known_since);
   if (!state.listed && MayUseRelays(state)) {
-    const Time earliest = state.relayed ? heard + settings.listing_delay : Time{};
+    const Time earliest = state.relayed ? relay_wait_start + settings.listing_delay : Time{};
     return std::max(state.servers_not_before, earliest);
   }
   if (!state.listed) return Time{};
   Time due = state.current_at + MaxAge(settings, state);
-  if (MayUseRelays(state)) return std::max(due, heard + settings.relay_timeout);
+  if (MayUseRelays(state)) return std::max(due, relay_wait_start + settings.relay_timeout);
   if (state.urgent) due = std::min(due, state.urgent_read_not_before);
   return due;
 }
@@ -283,9 +283,9 @@
 }
 
 Milliseconds MaxRetryDelay(const Settings& settings, const State& state, Time now) {
-  const bool heard = now - state.watcher_heard_at < settings.watcher_timeout;
+  const bool watcher_alive = now - state.watcher_heard_at < settings.watcher_timeout;
   const bool watcher_behind = now - state.watcher_current_at > settings.max_age;
-  const bool store_unreachable_for_all = !state.watches && heard && watcher_behind;
+  const bool store_unreachable_for_all = !state.watches && watcher_alive && watcher_behind;
   return store_unreachable_for_all ? std::max(settings.max_retry_delay, settings.max_age)
                                    : settings.max_retry_delay;
 }
@@ -312,7 +312,7 @@
   // Changes since a relayed revision omit configurations from before that revision.
   const bool changes_show_all =
       state.listed && !state.changes_unavailable && state.ConfigurationIsCurrent();
-  // The change rate was not measured while relays were in use; the size of a listing is bounded.
+  // While relays are in use, the change rate is not measured; the size of a listing is bounded.
   const bool measured = !state.relayed || state.watches;
   if (!changes_show_all || !measured || ListingIsSmaller(state, now)) return ReadKind::kListing;
   return ReadKind::kChanges;
--- a/src/relay/relay_plan.cc
+++ b/src/relay/relay_plan.cc
@@ -60,12 +60,12 @@
   const milliseconds count_after = known.needed() ? kReplanDelay : kFirstPlanDelay;
   if (now - leading_since < count_after) return known;
   const auto daemons = static_cast<std::uint32_t>(members_.size()) + 1;
-  const double least = from_daemons_ * (known.needed() ? kRelayRemovalFraction : 1);
-  const bool understood = std::all_of(members_.begin(), members_.end(), [](const auto& seen) {
-    return seen.second.member.supports_relays;
-  });
+  const double min_daemons = from_daemons_ * (known.needed() ? kRelayRemovalFraction : 1);
+  const bool all_support_relays =
+      std::all_of(members_.begin(), members_.end(),
+                  [](const auto& seen) { return seen.second.member.supports_relays; });
   RelayPlan next{known.number + 1, daemons, {}};
-  if (from_daemons_ > 0 && daemons >= least && understood) next.zones = Choose(known);
+  if (from_daemons_ > 0 && daemons >= min_daemons && all_support_relays) next.zones = Choose(known);
   const bool changed = known.number == 0 || next.zones != known.zones;
   return changed ? next : known;
 }
--- a/src/relay/relay_sources.cc
+++ b/src/relay/relay_sources.cc
@@ -33,8 +33,8 @@
 std::vector<std::string> RelaySources::SourcesOf(const ZoneRelays& zone) const {
   if (zone.relays.empty()) return {};
   const auto rank = [this](const std::string& address) {
-    const std::string both = address_ + '>' + address;
-    return XXH64(both.data(), both.size(), 0);
+    const std::string address_pair = address_ + '>' + address;
+    return XXH64(address_pair.data(), address_pair.size(), 0);
   };
   // The first relay goes last, since it already reads the store.
   std::vector<std::string> sources(zone.relays.begin() + 1, zone.relays.end());
@@ -55,9 +55,9 @@
   const auto start = std::hash<std::string>{}(address_) % zones.size();
   std::rotate(zones.begin(), zones.begin() + static_cast<std::ptrdiff_t>(start), zones.end());
   std::vector<std::string> sources;
-  for (std::size_t turn = 0; turn < kSourcesPerZone; ++turn)
+  for (std::size_t position = 0; position < kSourcesPerZone; ++position)
     for (const std::vector<std::string>& zone : zones)
-      if (turn < zone.size()) sources.push_back(zone[turn]);
+      if (position < zone.size()) sources.push_back(zone[position]);
   return sources;
 }
 
--- a/src/relay/snapshot_reader.cc
+++ b/src/relay/snapshot_reader.cc
@@ -29,8 +29,9 @@
 }
 
 SnapshotReader::PageResult SnapshotReader::Take(const ServersPage& page, const std::string& from) {
-  const bool asked = running_ && asked_at_us_ == page.asked_at_us && page.after == after_;
-  if (!asked) return PageResult::kIgnored;
+  const bool is_requested_page =
+      running_ && asked_at_us_ == page.asked_at_us && page.after == after_;
+  if (!is_requested_page) return PageResult::kIgnored;
   if (!page.relays) {
     // Restarts from the first page after the retry interval: another relay may answer then.
     const Time sent_at = sent_at_;
--- a/src/tenants/credit_ledger.cc
+++ b/src/tenants/credit_ledger.cc
@@ -164,9 +164,9 @@
 }
 
 double CreditLedger::Account::AvailableUnits(Time now) {
-  std::erase_if(reserved, [&](const Reserved& each) { return each.until < now; });
+  std::erase_if(reserved, [&](const Reserved& reservation) { return reservation.until < now; });
   double free = balance.Units();
-  for (const Reserved& each : reserved) free -= each.units;
+  for (const Reserved& reservation : reserved) free -= reservation.units;
   return free;
 }
 
@@ -181,8 +181,8 @@
   const std::size_t reserved_for_it = std::erase_if(
       account.reserved,
       [&](const Reserved& reserved) { return granted != 0 && reserved.asked_at_us == granted; });
-  const bool own_turn = reserved_for_it > 0 || account.queue.empty();
-  if (units > 0 && (!own_turn || account.AvailableUnits(now) + kRoundingTolerance < units))
+  const bool may_take = reserved_for_it > 0 || account.queue.empty();
+  if (units > 0 && (!may_take || account.AvailableUnits(now) + kRoundingTolerance < units))
     return {TakeStatus::kInsufficient, now};
   const std::optional<Time> created_at = account.balance.Take(units);
   if (!created_at && units > 0) return {TakeStatus::kInsufficient, now};
@@ -226,17 +226,17 @@
 }
 
 CreditQuestion CreditLedger::NewQuestion(const std::string& host, Time now) {
-  PoolState& known = pool_states_[host];
-  if (known.unanswered_since == Time{}) known.unanswered_since = now;
-  known.asked_at = now;
+  PoolState& pool = pool_states_[host];
+  if (pool.unanswered_since == Time{}) pool.unanswered_since = now;
+  pool.asked_at = now;
   CreditQuestion question;
   // The time of asking is also the question's unique id.
   last_asked_us_ = std::max(last_asked_us_ + 1, Microseconds(now.time_since_epoch()));
   question.asked_at_us = last_asked_us_;
-  known.open.insert(last_asked_us_);
-  if (known.open.size() > kMaxOpenQuestions) known.open.erase(known.open.begin());
-  question.last_answer_stamp_us = known.stamp_us;
-  if (known.stamp_us != 0) question.since_last_answer_us = Microseconds(now - known.last_answer_at);
+  pool.open.insert(last_asked_us_);
+  if (pool.open.size() > kMaxOpenQuestions) pool.open.erase(pool.open.begin());
+  question.last_answer_stamp_us = pool.stamp_us;
+  if (pool.stamp_us != 0) question.since_last_answer_us = Microseconds(now - pool.last_answer_at);
   return question;
 }
 
@@ -250,8 +250,8 @@
 
 std::vector<Credit> CreditLedger::Surplus(Account& account, Time now) {
   constexpr double kSeveral = 3;
-  const bool several = account.requests_per_second * kKeepBackS >= kSeveral;
-  const double keep = several ? account.units_per_second * kKeepBackS : 0;
+  const bool covers_several_requests = account.requests_per_second * kKeepBackS >= kSeveral;
+  const double keep = covers_several_requests ? account.units_per_second * kKeepBackS : 0;
   return account.balance.TakeUpTo(account.AvailableUnits(now) - keep);
 }
 
@@ -310,19 +310,20 @@
   const double rate = account.limit.rate_per_second;
   const bool small = request.needed <= kSmallRequestShare * rate * Seconds(account.lifetime);
   const std::uint32_t rank = small ? 0 : request.urgency + 1;
-  const auto behind = std::upper_bound(
+  const auto insert_position = std::upper_bound(
       account.queue.begin(), account.queue.end(), rank,
       [](std::uint32_t ranked, const Waiting& waiting) { return ranked < waiting.rank; });
-  const bool first = behind == account.queue.begin();
+  const bool first = insert_position == account.queue.begin();
   if (first && TryGrant(request.needed, account, now, grant.parts)) return grant;
   double shortfall = request.needed - account.AvailableUnits(now);
-  for (auto ahead = account.queue.begin(); ahead != behind; ++ahead) shortfall += ahead->units;
+  for (auto queued_ahead = account.queue.begin(); queued_ahead != insert_position; ++queued_ahead)
+    shortfall += queued_ahead->units;
   const BootClock::duration wait = FromSeconds(std::max(0.0, shortfall) / rate);
   const BootClock::duration patience = microseconds(request.patience_us);
   grant.available_in_us = std::max<std::int64_t>(1, Microseconds(wait));
   grant.queued = wait <= patience && account.queue.size() < kMaxQueueLength;
   if (grant.queued)
-    account.queue.insert(behind,
+    account.queue.insert(insert_position,
                          {from, question.asked_at_us, request.needed, rank, now, now + patience});
   return grant;
 }
@@ -380,14 +381,14 @@
   const microseconds transit{answer.stamp_us - question.last_answer_stamp_us -
                              question.since_last_answer_us};
   const bool fresh = RecordSender(from, question.asked_at_us, now);
-  const bool aged = fresh && question.last_answer_stamp_us != 0 && transit.count() >= 0;
+  const bool age_is_known = fresh && question.last_answer_stamp_us != 0 && transit.count() >= 0;
   std::vector<AddressedAnswer> served;
   for (const CreditRequest& request : question.requests) {
     const auto found = accounts_.find(request.tenant);
     if (found == accounts_.end())
       continue;  // One of the two daemons does not have the newest limits.
     Account& account = found->second;
-    if (aged) Unpack(request.deposit, transit, now, account.balance);
+    if (age_is_known) Unpack(request.deposit, transit, now, account.balance);
     Accrue(account, now);
     ServeQueue(request.tenant, account, now, served);
     if (request.needed > 0)
@@ -398,14 +399,14 @@
 }
 
 bool CreditLedger::TakeAnswer(const CreditAnswer& answer, const std::string& from, Time now) {
-  const auto known = pool_states_.find(from);
+  const auto pool = pool_states_.find(from);
   const bool more_comes = std::any_of(answer.grants.begin(), answer.grants.end(),
                                       [](const CreditGrant& grant) { return grant.queued; });
-  if (known == pool_states_.end() || !known->second.open.contains(answer.asked_at_us)) return false;
-  if (!more_comes) known->second.open.erase(answer.asked_at_us);
-  known->second.stamp_us = answer.stamp_us;
-  known->second.last_answer_at = now;
-  known->second.unanswered_since = Time{};
+  if (pool == pool_states_.end() || !pool->second.open.contains(answer.asked_at_us)) return false;
+  if (!more_comes) pool->second.open.erase(answer.asked_at_us);
+  pool->second.stamp_us = answer.stamp_us;
+  pool->second.last_answer_at = now;
+  pool->second.unanswered_since = Time{};
   const Time asked_at{microseconds(answer.asked_at_us)};
   // The whole round trip, without the time that the question was held at the pool.
   const auto transit = now - asked_at - microseconds(std::max<std::int64_t>(0, answer.held_us));
--- a/src/tenants/credit_sharing_planner.cc
+++ b/src/tenants/credit_sharing_planner.cc
@@ -40,16 +40,16 @@
          kPoolReportTimeout;  // The daemon may not have found the new leader yet.
 }
 
-CreditSharing CreditSharingPlanner::Count(const CreditSharing& last_told, Time leader_since,
+CreditSharing CreditSharingPlanner::Count(const CreditSharing& last_published, Time leader_since,
                                           Time now) {
   std::erase_if(members_,
                 [&](const auto& member) { return now - member.second.seen > kMemberExpiry; });
   CreditSharing sharing;
   const auto counted = static_cast<std::uint32_t>(members_.size() + 1);
   const bool led_long = now - leader_since > kMemberExpiry;
-  sharing.daemons = led_long ? counted : std::max(last_told.daemons, counted);
-  if (last_told.daemons == 0 && now - leader_since < kFirstCountDelay) return {};
-  for (const std::string& host : last_told.hosts)
+  sharing.daemons = led_long ? counted : std::max(last_published.daemons, counted);
+  if (last_published.daemons == 0 && now - leader_since < kFirstCountDelay) return {};
+  for (const std::string& host : last_published.hosts)
     if (IsReporting(host, leader_since, now)) sharing.hosts.push_back(host);
   struct Candidate {
     double strength;
--- a/src/tenants/credit_sharing_planner.h
+++ b/src/tenants/credit_sharing_planner.h
@@ -28,10 +28,10 @@
 
   /// Records a report from another daemon; a report from this daemon is ignored.
   void Note(const std::string& address, double strength, Time now);
-  /// @param known The sharing published last, by this leader or its predecessor.
+  /// @param last_published The sharing published last, by this leader or its predecessor.
   /// @param leader_since When this daemon became leader.
   /// @return The sharing to publish now. Its `daemons` is 0 while too few reports have arrived.
-  CreditSharing Count(const CreditSharing& last_told, Time leader_since, Time now);
+  CreditSharing Count(const CreditSharing& last_published, Time leader_since, Time now);
 
  private:
   struct Member {
--- a/src/tenants/quota_service.cc
+++ b/src/tenants/quota_service.cc
@@ -64,11 +64,11 @@
 }
 
 void QuotaService::SendAnswers(const std::vector<quota::AddressedAnswer>& answers) {
-  for (const quota::AddressedAnswer& each : answers) {
-    if (each.to == ledger_.self())
-      Hear(each.answer, each.to);
+  for (const quota::AddressedAnswer& addressed_answer : answers) {
+    if (addressed_answer.to == ledger_.self())
+      Hear(addressed_answer.answer, addressed_answer.to);
     else
-      ports_.answer(each.to, each.answer);
+      ports_.answer(addressed_answer.to, addressed_answer.answer);
   }
 }
 
@@ -96,10 +96,10 @@
 }
 
 BootClock::duration QuotaService::KnownShortage(const quota::CreditDemand& demand) const {
-  const auto known = shortages_.find(demand.tenant);
-  if (known == shortages_.end()) return {};
-  if (demand.units < known->second.units || demand.urgency < known->second.urgency) return {};
-  return std::max(BootClock::duration{}, known->second.until - BootClock::now());
+  const auto shortage = shortages_.find(demand.tenant);
+  if (shortage == shortages_.end()) return {};
+  if (demand.units < shortage->second.units || demand.urgency < shortage->second.urgency) return {};
+  return std::max(BootClock::duration{}, shortage->second.until - BootClock::now());
 }
 
 Awaitable<QuotaService::QuestionState> QuotaService::AskPool(quota::CreditDemand demand,
@@ -125,9 +125,9 @@
   const quota::Time wait_until = BootClock::now() + demand.patience;
   // Refuses at once, without asking the pool, if the last refusal shows that the credit will not be
   // available in time.
-  const BootClock::duration known = KnownShortage(demand);
-  if (BootClock::now() + known > wait_until && known > BootClock::duration{})
-    co_return Refuse(QuotaStatus::kOverLimit, known);
+  const BootClock::duration known_shortage = KnownShortage(demand);
+  if (BootClock::now() + known_shortage > wait_until && known_shortage > BootClock::duration{})
+    co_return Refuse(QuotaStatus::kOverLimit, known_shortage);
   int questions = 0;
   std::int64_t granted = 0;
   while (true) {
