--- a/test/fleet/demand_channel_test.cc
+++ b/test/fleet/demand_channel_test.cc
@@ -104,14 +104,14 @@
   stray.send_to(boost::asio::buffer(std::string("\xff\xff no message")),
                 {boost::asio::ip::make_address("127.0.0.1"), leader.endpoint().port});
   std::size_t entries = 0;
-  const auto give_up = BootClock::now() + seconds(20);
-  while (entries < 60 && BootClock::now() < give_up) {
+  const auto deadline = BootClock::now() + seconds(20);
+  while (entries < 60 && BootClock::now() < deadline) {
     context.run_one_for(milliseconds(50));
     entries = 0;
     for (const DemandReport& part : reports) entries += part.entries.size();
   }
   REQUIRE(entries == 60);
-  while (dropped.empty() && BootClock::now() < give_up) context.run_one_for(milliseconds(50));
+  while (dropped.empty() && BootClock::now() < deadline) context.run_one_for(milliseconds(50));
   REQUIRE(dropped.size() == 1);  // The invalid datagram is reported.
   CHECK(dropped[0].starts_with("received: "));
   CHECK(reports[0].unreachable == std::vector<std::string>{"i-9"});
@@ -130,7 +130,7 @@
   answer.servers.push_back({At(14), true, {"i-2"}});
   leader.SendTo(reports[0].address, answer);
   leader.Broadcast(PlacementNotice{"i-1", {"m", "a"}, false});
-  while ((notices.empty() || offers.empty() || answers.empty()) && BootClock::now() < give_up)
+  while ((notices.empty() || offers.empty() || answers.empty()) && BootClock::now() < deadline)
     context.run_one_for(milliseconds(50));
   CHECK(offers == std::vector<std::string>{"leader"});
   REQUIRE(notices.size() == 1);
--- a/test/fleet/leader_election_test.cc
+++ b/test/fleet/leader_election_test.cc
@@ -234,8 +234,8 @@
   boost::asio::io_context context;
   KeyValueTable table;
   Candidate one(context, table, "one");
-  KeyValue garbage{kKey, "garbage", At(50), {}};
-  one.election.KeyChanged(garbage, At(50));
+  KeyValue undecodable{kKey, "garbage", At(50), {}};
+  one.election.KeyChanged(undecodable, At(50));
   CHECK_FALSE(one.election.leader().has_value());
 }
 
@@ -243,9 +243,9 @@
     "An undecodable value without a lease under the leader key does not prevent an election") {
   boost::asio::io_context context;
   KeyValueTable table;
-  Transaction foreign;
-  foreign.operations.emplace_back(PutOperation{kKey, "no record", {}});
-  table.Transact(foreign);
+  Transaction invalid_write;
+  invalid_write.operations.emplace_back(PutOperation{kKey, "no record", {}});
+  table.Transact(invalid_write);
   Candidate one(context, table, "one");
   Candidate two(context, table, "two");
   REQUIRE(RunUntil(context, {&one, &two},
--- a/test/fleet/order_handover_model_test.cc
+++ b/test/fleet/order_handover_model_test.cc
@@ -214,7 +214,7 @@
 
   void Step(const ModelState& state, int steps) {
     for (const Key& copy : state.copies) RestoreCopy(state, copy, steps);
-    bool fresh_machine_claimed = false;
+    bool never_led_machine_claimed = false;
     for (int index = 0; index < kMachines && !violation_; ++index) {
       const Machine& machine = state.machines[static_cast<std::size_t>(index)];
       if (machine.window.leading()) {
@@ -230,9 +230,9 @@
         WriteSettledRecord(state, index, steps);
       }
       // Machines that have not led are interchangeable, so one of them is enough.
-      const bool fresh = machine.token == 0;
-      if (MayClaim(state, index) && !(fresh && fresh_machine_claimed)) {
-        fresh_machine_claimed = fresh_machine_claimed || fresh;
+      const bool never_led = machine.token == 0;
+      if (MayClaim(state, index) && !(never_led && never_led_machine_claimed)) {
+        never_led_machine_claimed = never_led_machine_claimed || never_led;
         Claim(state, index, steps);
       }
       ClaimLater(state, index, steps);
@@ -265,9 +265,9 @@
     if (!rules_.claim_on_decided_revision)
       pending.claim =
           LeadershipClaim(state.key.owner < 0 ? StoreRevision{state.era, 0} : state.key.revision);
-    const StoreRevision now_there =
+    const StoreRevision current_condition =
         state.key.owner < 0 ? StoreRevision{state.era, 0} : state.key.revision;
-    if (pending.claim.condition() != now_there) return;
+    if (pending.claim.condition() != current_condition) return;
     CarryOutClaim(state, index);
     Explore(state, steps);
   }
@@ -307,11 +307,12 @@
   void Renew(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
     if (rules_.renewals_check_era && machine.lease_era != before.era) return;
-    const bool ours = before.key.owner == index && before.key.token == machine.token;
-    const bool overwritten = before.key.owner >= 0 && !ours && !machine.window.Lapsed(before.now);
-    if (before.key.released || (!ours && !overwritten)) return;
+    const bool holds_key = before.key.owner == index && before.key.token == machine.token;
+    const bool overwritten =
+        before.key.owner >= 0 && !holds_key && !machine.window.Lapsed(before.now);
+    if (before.key.released || (!holds_key && !overwritten)) return;
     ModelState answered = before;
-    if (ours) answered.key.lease_ends = before.now + kLease;
+    if (holds_key) answered.key.lease_ends = before.now + kLease;
     ModelState lost = answered;
     At(answered, index).window.Renew(before.now);
     Explore(answered, steps);
@@ -329,9 +330,9 @@
     if (!rules_.hand_over_remaining_wait) record.quiet_ms = 0;
     resigning_machine.window.Lose();
     resigning_machine.resigned = true;
-    const bool ours = state.key.owner == index && state.key.token == resigning_machine.token &&
-                      resigning_machine.lease_era == state.era;
-    if (!ours) {
+    const bool holds_key = state.key.owner == index && state.key.token == resigning_machine.token &&
+                           resigning_machine.lease_era == state.era;
+    if (!holds_key) {
       Explore(state, steps);
       return;
     }
@@ -354,11 +355,11 @@
 
   void WriteSettledRecord(const ModelState& before, int index, int steps) {
     const Machine& machine = before.machines[static_cast<std::size_t>(index)];
-    const bool ours = before.key.owner == index && before.key.token == machine.token &&
-                      machine.lease_era == before.era;
+    const bool holds_key = before.key.owner == index && before.key.token == machine.token &&
+                           machine.lease_era == before.era;
     const bool clear =
         !rules_.settle_after_expiry || machine.history.InheritedOrdersExpired(before.now);
-    if (!ours || before.key.settled || !machine.window.InitialWaitOver(before.now) || !clear)
+    if (!holds_key || before.key.settled || !machine.window.InitialWaitOver(before.now) || !clear)
       return;
     ModelState state = before;
     state.key.settled = true;
@@ -392,8 +393,8 @@
     if (record_is_current && state.key.released) {
       // Seeing the record at the earliest time is the worst case.
       machine.history.Inherit(*state.key.released, state.key.written);
-      const Time quiet = state.key.written + milliseconds(state.key.released->quiet_ms);
-      wait = std::chrono::ceil<milliseconds>(std::max(quiet, state.now) - state.now);
+      const Time wait_ends = state.key.written + milliseconds(state.key.released->quiet_ms);
+      wait = std::chrono::ceil<milliseconds>(std::max(wait_ends, state.now) - state.now);
     } else if (record_is_current && state.key.owner == index && state.key.settled) {
       machine.history.Reset();
       wait = kOwnHandoverWait;
--- a/test/fleet/order_history_test.cc
+++ b/test/fleet/order_history_test.cc
@@ -14,10 +14,12 @@
 constexpr milliseconds kLoadWindow{5'000};
 const Time kStart{std::chrono::seconds(1'000)};
 
-OrderHistory Make(const std::string& holder) { return {holder, kOrderSeparation, kLoadWindow}; }
+OrderHistory MakeHistory(const std::string& holder) {
+  return {holder, kOrderSeparation, kLoadWindow};
+}
 
 TEST_CASE("The next leader avoids recently ordered servers only, and only for as long as needed") {
-  OrderHistory previous = Make("a");
+  OrderHistory previous = MakeHistory("a");
   previous.NoteOrder("i-0", kStart - milliseconds(9'000));
   previous.NoteOrder("i-1", kStart);
   previous.NoteOrder("i-2", kStart + milliseconds(2'000));
@@ -25,7 +27,7 @@
   const OrderHistoryRecord record = previous.ToRecord(kStart + milliseconds(2'000), kStart);
   CHECK(record.servers.size() == 2);
   CHECK(record.quiet_ms == 0);
-  OrderHistory next = Make("b");
+  OrderHistory next = MakeHistory("b");
   const Time seen = kStart + milliseconds(2'500);
   next.Inherit(record, seen);
   CHECK(next.SafeToOrderFrom("i-3") <= seen);
@@ -38,23 +40,23 @@
 }
 
 TEST_CASE("A restarted machine waits only until the orders of its earlier process have ended") {
-  OrderHistory previous = Make("a");
+  OrderHistory previous = MakeHistory("a");
   previous.NoteOrder("i-1", kStart);
-  OrderHistory restarted = Make("a");
+  OrderHistory restarted = MakeHistory("a");
   restarted.Inherit(previous.ToRecord(kStart, kStart), kStart);
   CHECK(restarted.SafeToOrderFrom("i-1") == kStart + milliseconds(400));
 }
 
 TEST_CASE("A leader hands over its inherited orders and its remaining wait") {
-  OrderHistory first = Make("a");
+  OrderHistory first = MakeHistory("a");
   first.NoteOrder("i-1", kStart);
-  OrderHistory second = Make("b");
+  OrderHistory second = MakeHistory("b");
   second.Inherit(first.ToRecord(kStart, kStart), kStart);
   const Time later = kStart + milliseconds(1'000);
   second.NoteOrder("i-2", later);
   const OrderHistoryRecord record = second.ToRecord(later, kStart + milliseconds(2'400));
   CHECK(record.quiet_ms == 1'400);
-  OrderHistory third = Make("c");
+  OrderHistory third = MakeHistory("c");
   third.Inherit(record, later);
   CHECK(third.SafeToOrderFrom("i-1") == kStart + milliseconds(3'300));
   CHECK(third.SafeToOrderFrom("i-2") == later + milliseconds(3'300));
@@ -64,11 +66,11 @@
 }
 
 TEST_CASE("Loads of the previous leader count against the limit on loads") {
-  OrderHistory previous = Make("a");
+  OrderHistory previous = MakeHistory("a");
   for (int load = 0; load < 6; ++load) previous.loads().RecordLoad(kStart);
   previous.loads().RecordUnansweredLoad(kStart);
   const Time later = kStart + milliseconds(1'000);
-  OrderHistory next = Make("b");
+  OrderHistory next = MakeHistory("b");
   next.Inherit(previous.ToRecord(later, kStart), later);
   CHECK(next.loads().AvailableLoads(2, later) == Approx(3));
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(5'200)) == Approx(3));
@@ -76,7 +78,7 @@
   CHECK(next.loads().AvailableLoads(2, kStart + milliseconds(60'000)) == Approx(10));
 }
 
-DemandReport Report(const std::string& name, int uptime_ms, bool stopping = false) {
+DemandReport MakeReport(const std::string& name, int uptime_ms, bool stopping = false) {
   DemandReport report;
   report.sender = name;
   report.address = name + ":1";
@@ -90,11 +92,11 @@
     "stopping") {
   FleetMembers members;
   CHECK_FALSE(members.ChooseSuccessor(kStart, false).has_value());
-  members.Note(Report("old", 90'000), kStart);
+  members.Note(MakeReport("old", 90'000), kStart);
   CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("old:1"));
-  members.Note(Report("new", 2'000), kStart);
-  members.Note(Report("starting", 100), kStart);
-  members.Note(Report("leaving", 1'000, true), kStart);
+  members.Note(MakeReport("new", 2'000), kStart);
+  members.Note(MakeReport("starting", 100), kStart);
+  members.Note(MakeReport("leaving", 1'000, true), kStart);
   CHECK(members.ChooseSuccessor(kStart, false) == std::optional<std::string>("new:1"));
   CHECK_FALSE(members.ChooseSuccessor(kStart + milliseconds(2'000), false).has_value());
 }
--- a/test/gateway/catching_up_test.cc
+++ b/test/gateway/catching_up_test.cc
@@ -88,10 +88,10 @@
       co_await Sleep(kConfigurationEvery);
     }
   }
-  bool RunUntil(const std::function<bool()>& done, milliseconds timeout) {
-    const auto give_up = BootClock::now() + timeout;
-    while (!done() && BootClock::now() < give_up) context.run_one_for(milliseconds(5));
-    return done();
+  bool RunUntil(const std::function<bool()>& condition, milliseconds timeout) {
+    const auto deadline = BootClock::now() + timeout;
+    while (!condition() && BootClock::now() < deadline) context.run_one_for(milliseconds(5));
+    return condition();
   }
   void RunFor(milliseconds time) {
     RunUntil([] { return false; }, time);
--- a/test/gateway/configuration_in_force_test.cc
+++ b/test/gateway/configuration_in_force_test.cc
@@ -129,10 +129,11 @@
     options.work = milliseconds(1);
     return options;
   }
-  bool RunUntil(const std::function<bool()>& done, milliseconds timeout = milliseconds(40'000)) {
-    const auto give_up = BootClock::now() + timeout;
-    while (!done() && BootClock::now() < give_up) context.run_one_for(milliseconds(5));
-    return done();
+  bool RunUntil(const std::function<bool()>& condition,
+                milliseconds timeout = milliseconds(40'000)) {
+    const auto wait_ends = BootClock::now() + timeout;
+    while (!condition() && BootClock::now() < wait_ends) context.run_one_for(milliseconds(5));
+    return condition();
   }
   void RunFor(milliseconds time) {
     RunUntil([] { return false; }, time);
--- a/test/gateway/gateway_parts_test.cc
+++ b/test/gateway/gateway_parts_test.cc
@@ -156,7 +156,7 @@
   struct Case {
     const char* name;
     std::string text;
-    const char* says;
+    const char* expected_text;
   };
   for (const Case& each :
        {Case{"a missing field", "name: n\n", "zone"},
@@ -170,7 +170,7 @@
       ParseGatewaySettings(each.text, "f");
       FAIL("no error");
     } catch (const ConfigError& error) {
-      CHECK(std::string(error.what()).find(each.says) != std::string::npos);
+      CHECK(std::string(error.what()).find(each.expected_text) != std::string::npos);
     }
   }
 }
--- a/test/gateway/request_pipeline_test.cc
+++ b/test/gateway/request_pipeline_test.cc
@@ -38,9 +38,9 @@
 
 TEST_CASE("A response is relayed with its status, headers and body unchanged") {
   PipelineFixture fixture;
-  std::string seen;
+  std::string received_head;
   ScriptedServer server([&](ScriptedConnection& connection) {
-    seen = connection.ReadHead();
+    received_head = connection.ReadHead();
     connection.Write("HTTP/1.1 404 Not Found\r\n" + kSealed +
                      "X-Other: kept\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody");
   });
@@ -52,18 +52,18 @@
   CHECK(answer.find("X-Response-Seal: s1") != std::string::npos);
   CHECK(answer.find("X-Other: kept") != std::string::npos);
   CHECK(answer.ends_with("\r\n\r\nbody"));
-  CHECK(seen.starts_with("GET /p/x?q=1 HTTP/1.1"));
-  CHECK(seen.find("X-Request-Id: one") != std::string::npos);
-  CHECK(seen.find("X-Mine: 7") != std::string::npos);
-  CHECK(seen.find("X-Expect-Instance: i-1") != std::string::npos);
-  CHECK(seen.find("Keep-Alive") == std::string::npos);
+  CHECK(received_head.starts_with("GET /p/x?q=1 HTTP/1.1"));
+  CHECK(received_head.find("X-Request-Id: one") != std::string::npos);
+  CHECK(received_head.find("X-Mine: 7") != std::string::npos);
+  CHECK(received_head.find("X-Expect-Instance: i-1") != std::string::npos);
+  CHECK(received_head.find("Keep-Alive") == std::string::npos);
 }
 
 TEST_CASE("The deadline header sent to the server never exceeds the remaining time") {
   PipelineFixture fixture;
-  std::string seen;
+  std::string received_head;
   ScriptedServer server([&](ScriptedConnection& connection) {
-    seen = connection.ReadHead();
+    received_head = connection.ReadHead();
     connection.Write(Ok("x"));
   });
   fixture.AddServer("i-1", server.endpoint());
@@ -74,9 +74,9 @@
   for (const Case& each : {Case{"900", 900}, Case{"9000", 4'000}}) {
     fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kRepeatable)});
     fixture.Exchange(PipelineFixture::Request("/p/x", "", each.stated));
-    const std::size_t at = seen.find("X-Deadline-Ms: ");
+    const std::size_t at = received_head.find("X-Deadline-Ms: ");
     REQUIRE(at != std::string::npos);
-    const int left = std::stoi(seen.substr(at + 15));
+    const int left = std::stoi(received_head.substr(at + 15));
     CHECK(left <= each.most);
     CHECK(left > 0);
   }
@@ -118,12 +118,12 @@
       Always("HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nX-Server-Load: 4,9,4\r\n"
              "X-Request-Id: one\r\nContent-Length: 0\r\n\r\n",
              &refused));
-  ScriptedServer sound(Always(Ok("done")));
+  ScriptedServer healthy_server(Always(Ok("done")));
   fixture.SetRoutes({PipelineFixture::MakeRoute(RouteType::kAtMostOnce)});
   fixture.AddServer("i-1", full.endpoint());
   CHECK(PipelineFixture::Status(fixture.Exchange(PipelineFixture::Request())) == 503);
   CHECK(refused >= 1);
-  fixture.AddServer("i-2", sound.endpoint());
+  fixture.AddServer("i-2", healthy_server.endpoint());
   CHECK(fixture.Exchange(PipelineFixture::Request()).ends_with("done"));
 }
 
--- a/test/gateway/request_reporter_test.cc
+++ b/test/gateway/request_reporter_test.cc
@@ -161,10 +161,10 @@
   log.Flush();
   close(ends[1]);
   std::string out(4096, '\0');
-  const ssize_t got = read(ends[0], out.data(), out.size());
+  const ssize_t length = read(ends[0], out.data(), out.size());
   close(ends[0]);
-  REQUIRE(got > 0);
-  out.resize(static_cast<std::size_t>(got));
+  REQUIRE(length > 0);
+  out.resize(static_cast<std::size_t>(length));
   CHECK(out.find("event=requests_open ids=old-one\n") != std::string::npos);
   CHECK(out.find("old-one", out.find("old-one") + 1) == std::string::npos);
   CHECK(out.find("young") == std::string::npos);
--- a/test/gateway/restored_entries_test.cc
+++ b/test/gateway/restored_entries_test.cc
@@ -129,11 +129,11 @@
 }
 
 CaseUpdate Quarantined(const std::string& body) {
-  CaseUpdate news;
-  news.fingerprint = FingerprintOf({"host", "/", "model", body});
-  news.service = "s";
-  news.quarantined_versions = {"v1"};
-  return news;
+  CaseUpdate case_update;
+  case_update.fingerprint = FingerprintOf({"host", "/", "model", body});
+  case_update.service = "s";
+  case_update.quarantined_versions = {"v1"};
+  return case_update;
 }
 
 TEST_CASE("The leader writes its own records again after the store lost them in a restore") {
@@ -150,9 +150,9 @@
   const QuarantineNotice cases{{Quarantined("a")}};
   const CreditSharing shares{7, {"127.0.0.1:1"}};
   const auto write_until_both_stored = [&] {
-    const auto give_up = BootClock::now() + milliseconds(6'000);
+    const auto deadline = BootClock::now() + milliseconds(6'000);
     while (table.Range({"moorfold/", "moorfold0"}).entries.size() != 2 &&
-           BootClock::now() < give_up) {
+           BootClock::now() < deadline) {
       quarantine.Write(cases);
       sharing.Write(shares);
       context.restart();
--- a/test/gateway/server_choice_test.cc
+++ b/test/gateway/server_choice_test.cc
@@ -118,13 +118,13 @@
   request.parts = {{"shared", 6000}, {"own", 500}};
   for (const char* id : {"i", "j"}) {
     CAPTURE(id);
-    ServerDirectory fresh;
-    fresh.Put(MakeRecord("i"), kNow);
-    fresh.Put(MakeRecord("j"), kNow);
-    fresh.Find(id)->RecordPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
-    CHECK(Chosen(fresh, request) == id);
+    ServerDirectory own_directory;
+    own_directory.Put(MakeRecord("i"), kNow);
+    own_directory.Put(MakeRecord("j"), kNow);
+    own_directory.Find(id)->RecordPrompt({"m", ""}, {{"shared", 6000}, {"other", 9}});
+    CHECK(Chosen(own_directory, request) == id);
     request.model.adapter = "a1";  // The cache of another adapter is not usable.
-    CHECK(fresh.Find(id)->CachedPrefixTokens(request.model, request.parts) == 0);
+    CHECK(own_directory.Find(id)->CachedPrefixTokens(request.model, request.parts) == 0);
     request.model.adapter.clear();
   }
   // Daemons that have not seen the prompt choose the same server.
--- a/test/platform/gateway_end_to_end_test.cc
+++ b/test/platform/gateway_end_to_end_test.cc
@@ -197,13 +197,13 @@
     calls.push_back(deployment.Metrics(number).store_calls.Total());
   deployment.RunFor(milliseconds(5'000));
   for (int number = 0; number < 3; ++number) {
-    const std::uint64_t made =
+    const std::uint64_t calls_made =
         deployment.Metrics(number).store_calls.Total() - calls[static_cast<std::size_t>(number)];
-    CAPTURE(number, leader, made);
+    CAPTURE(number, leader, calls_made);
     if (number == leader)
-      CHECK(made >= 5);
+      CHECK(calls_made >= 5);
     else
-      CHECK(made <= 2);  // Without the leader, one call every 1.1 s.
+      CHECK(calls_made <= 2);  // Without the leader, one call every 1.1 s.
   }
   deployment.platform.Configure();
   const auto in_force = [&] {
--- a/test/platform/store_client_test.cc
+++ b/test/platform/store_client_test.cc
@@ -46,8 +46,8 @@
     watch = client.Watch(
         {"", "\xff"}, {}, [this](const WatchBatch&) { ++batches; },
         [this](const PlatformFailure& failure) { watch_failure = failure; });
-    const auto give_up = BootClock::now() + std::chrono::seconds(60);
-    while ((!listing || !watch_failure) && BootClock::now() < give_up)
+    const auto deadline = BootClock::now() + std::chrono::seconds(60);
+    while ((!listing || !watch_failure) && BootClock::now() < deadline)
       context.run_one_for(milliseconds(20));
   }
 
@@ -158,8 +158,8 @@
   std::optional<Outcome<RangeResult>> listing;
   client.RangeWhile([&] { return pages < 3; }, {"", "\xff"}, ReadConsistency::kLinearizable,
                     [&](Outcome<RangeResult> outcome) { listing.emplace(std::move(outcome)); });
-  const auto give_up = BootClock::now() + std::chrono::seconds(60);
-  while (!listing && BootClock::now() < give_up) context.run_one_for(milliseconds(20));
+  const auto deadline = BootClock::now() + std::chrono::seconds(60);
+  while (!listing && BootClock::now() < deadline) context.run_one_for(milliseconds(20));
   REQUIRE(listing);
   CHECK_FALSE(listing->ok());
   CHECK(pages == 3);
--- a/test/platform/store_era_test.cc
+++ b/test/platform/store_era_test.cc
@@ -89,8 +89,8 @@
   Outcome<T> Await(std::function<void(KeyValueStore::Callback<T>)> call) {
     std::optional<Outcome<T>> outcome;
     call([&](Outcome<T> result) { outcome.emplace(std::move(result)); });
-    const auto give_up = BootClock::now() + std::chrono::seconds(60);
-    while (!outcome && BootClock::now() < give_up) {
+    const auto deadline = BootClock::now() + std::chrono::seconds(60);
+    while (!outcome && BootClock::now() < deadline) {
       if (context.stopped()) context.restart();
       context.run_one_for(milliseconds(20));
     }
@@ -116,8 +116,8 @@
     const auto watch = client.Watch(
         {"", "\xff"}, start, [&](const WatchBatch&) { received_batch = true; },
         [&](const PlatformFailure& failure) { ended = failure; });
-    const auto give_up = BootClock::now() + std::chrono::seconds(60);
-    while (!ended && !received_batch && BootClock::now() < give_up) {
+    const auto deadline = BootClock::now() + std::chrono::seconds(60);
+    while (!ended && !received_batch && BootClock::now() < deadline) {
       if (context.stopped()) context.restart();
       context.run_one_for(milliseconds(20));
     }
--- a/test/quarantine/quarantine_record_test.cc
+++ b/test/quarantine/quarantine_record_test.cc
@@ -26,10 +26,10 @@
                                 : DecodeMessage<QuarantineNotice>(read.entries[0].value);
   }
   /// Calls Write repeatedly, as a leader does, until the store holds the given number of cases.
-  bool WriteUntilStored(const QuarantineNotice& wanted, std::size_t cases) {
-    const auto give_up = BootClock::now() + milliseconds(10'000);
-    while (Stored().cases.size() != cases && BootClock::now() < give_up) {
-      record.Write(wanted);
+  bool WriteUntilStored(const QuarantineNotice& new_record, std::size_t cases) {
+    const auto deadline = BootClock::now() + milliseconds(10'000);
+    while (Stored().cases.size() != cases && BootClock::now() < deadline) {
+      record.Write(new_record);
       context.restart();
       context.run_for(milliseconds(100));
     }
@@ -40,9 +40,10 @@
   KeyValueTable table;
   FakeKeyValueStore store;
   EventLog log;
-  std::vector<QuarantineNotice> heard;
-  QuarantineRecord record{store, log, kKey,
-                          [this](const QuarantineNotice& notice) { heard.push_back(notice); }};
+  std::vector<QuarantineNotice> received_notices;
+  QuarantineRecord record{store, log, kKey, [this](const QuarantineNotice& notice) {
+                            received_notices.push_back(notice);
+                          }};
 };
 
 TEST_CASE("A leader with an outdated view of the store entry reads it before it writes its own") {
@@ -53,8 +54,8 @@
       PutOperation{kKey, EncodeMessage(QuarantineNotice{{Quarantined("a")}}), {}});
   fixture.table.Transact(before);
   CHECK(fixture.WriteUntilStored({{Quarantined("a"), Quarantined("b")}}, 2));
-  REQUIRE(fixture.heard.size() == 1);
-  CHECK(fixture.heard[0].cases.size() == 1);
+  REQUIRE(fixture.received_notices.size() == 1);
+  CHECK(fixture.received_notices[0].cases.size() == 1);
 }
 
 TEST_CASE(
--- a/test/quarantine/quarantined_request_test.cc
+++ b/test/quarantine/quarantined_request_test.cc
@@ -33,10 +33,10 @@
   /// Sends a request and waits until the evidence of this attempt has been processed.
   unsigned SendAndWait(const std::string& request, const std::string& from,
                        std::string* answer = nullptr) {
-    const std::string got = fixture_.Exchange(request, "", from);
+    const std::string raw_response = fixture_.Exchange(request, "", from);
     std::this_thread::sleep_for(milliseconds(100));
-    if (answer != nullptr) *answer = got;
-    return PipelineFixture::Status(got);
+    if (answer != nullptr) *answer = raw_response;
+    return PipelineFixture::Status(raw_response);
   }
 
   std::vector<std::unique_ptr<ScriptedServer>> crashing_servers;
@@ -126,17 +126,17 @@
     unsigned status;
     const char* remedy;
   };
-  const std::vector<Case> mistakes = {
+  const std::vector<Case> invalid_calls = {
       {"POST", "/quarantine/release/zz", 400, "32 hexadecimal digits"},
       {"POST", "/quarantine/release/" + std::string(32, '0'), 404, "look at the list again"},
       {"GET", "/quarantine/release/" + ToString(crashing_request), 404,
        "POST /quarantine/release/"},
       {"GET", "/quarantines", 404, "GET /quarantine lists"}};
-  for (const Case& mistake : mistakes) {
-    CAPTURE(mistake.target);
-    const HttpResponse response = call(mistake.method, mistake.target);
-    CHECK(response.status == mistake.status);
-    CHECK(response.body.find(mistake.remedy) != std::string::npos);
+  for (const Case& invalid_call : invalid_calls) {
+    CAPTURE(invalid_call.target);
+    const HttpResponse response = call(invalid_call.method, invalid_call.target);
+    CHECK(response.status == invalid_call.status);
+    CHECK(response.body.find(invalid_call.remedy) != std::string::npos);
   }
   CHECK(call("POST", "/quarantine/release/" + ToString(crashing_request)).status == 200);
   CHECK(call("GET", "/quarantine").body.empty());
--- a/test/relay/fleet_size_test.cc
+++ b/test/relay/fleet_size_test.cc
@@ -89,7 +89,7 @@
     for (const auto& daemon : daemons) {
       Daemon* each = daemon.get();
       At(now + milliseconds(Hash(each->name) % 300), [this, each] { ReadWhenDue(*each); });
-      At(now + milliseconds(500 + Hash(each->name) % 500), [this, each] { Ask(*each); });
+      At(now + milliseconds(500 + Hash(each->name) % 500), [this, each] { RequestChanges(*each); });
     }
     // By then a leader is elected and has received the reports.
     At(now + milliseconds(2'500), [this] { MakePlan(); });
@@ -236,13 +236,13 @@
     return nullptr;
   }
   /// Models one request and its answer, including the relay's processing time.
-  void Send(Daemon& from, Daemon& to, double bytes, std::function<void()> answered) {
+  void Send(Daemon& from, Daemon& to, double bytes, std::function<void()> on_answer) {
     to.busy_until =
         std::max(to.busy_until, now + kNetworkDelay) + Seconds(kDatagramCpuS / kStrongCoreShare);
     to.datagram_bytes += bytes;
     from.datagram_bytes += bytes;
-    At(to.busy_until + kNetworkDelay, [&from, &to, answered = std::move(answered)] {
-      if (to.alive && from.alive) answered();
+    At(to.busy_until + kNetworkDelay, [&from, &to, on_answer = std::move(on_answer)] {
+      if (to.alive && from.alive) on_answer();
     });
   }
   void Pull(Daemon& daemon) {
@@ -255,23 +255,24 @@
     Daemon* relay = Find(daemon.sources->Current(now));
     if (!request || relay == nullptr) return;
     daemon.sources->RecordRequest(now);
-    Send(daemon, *relay, kDatagramBytes,
-         [this, &daemon, relay, asked = *request] { AnswerPage(daemon, *relay, asked); });
+    Send(daemon, *relay, kDatagramBytes, [this, &daemon, relay, servers_request = *request] {
+      AnswerPage(daemon, *relay, servers_request);
+    });
     At(now + milliseconds(300), [this, &daemon] { Pull(daemon); });
   }
-  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersRequest& asked) {
+  void AnswerPage(Daemon& daemon, Daemon& relay, const ServersRequest& servers_request) {
     ServersPage page;
-    page.asked_at_us = asked.asked_at_us;
-    page.after = asked.after;
+    page.asked_at_us = servers_request.asked_at_us;
+    page.after = servers_request.after;
     page.relays =
         plan.Names(relay.address) && relay.state.listed && relay.state.ConfigurationIsCurrent();
     page.revision = relay.state.revision;
     page.age_us =
         std::chrono::duration_cast<std::chrono::microseconds>(now - relay.state.current_at).count();
-    if (asked.after.empty()) daemon.page = 0;
+    if (servers_request.after.empty()) daemon.page = 0;
     ++daemon.page;
     page.more = daemon.page * kServersPerDatagram < servers;
-    page.last = asked.after + "x";
+    page.last = servers_request.after + "x";
     switch (daemon.snapshot.Take(page, relay.address)) {
       case SnapshotReader::PageResult::kIgnored:
         return;
@@ -291,12 +292,12 @@
     daemon.busy_until = std::max(daemon.busy_until, now) + Seconds(kDatagramCpuS / kWeakCoreShare);
     At(daemon.busy_until, [this, &daemon] { Pull(daemon); });
   }
-  void Ask(Daemon& daemon) {
-    At(now + kRequestInterval, [this, &daemon] { Ask(daemon); });
+  void RequestChanges(Daemon& daemon) {
+    At(now + kRequestInterval, [this, &daemon] { RequestChanges(daemon); });
     if (daemon.alive && !plan.needed() && daemon.state.listed && Registered()) {
       // The leader has not named relays yet. It announces a configuration, and then answers with a
       // gap because of too many changes.
-      if (size_told) Decide(daemon, follow::RelaysChanged{true});
+      if (size_announced) Decide(daemon, follow::RelaysChanged{true});
       const StoreRevision known = daemon.state.revision;
       const StoreRevision configured{0, known.number + 1};
       Decide(daemon, follow::Relayed{false, false, known, configured, true, now});
@@ -364,7 +365,7 @@
     }
   };
   bool relays_used;
-  bool size_told = false;  ///< The leader's answers include the fleet size.
+  bool size_announced = false;  ///< The leader's answers include the fleet size.
   Time registered_at;
   double servers;
   follow::Settings settings = FleetSettings();
@@ -413,7 +414,7 @@
 TEST_CASE(
     "Daemons that know the fleet is large do not list servers while relays are being chosen") {
   Fleet fleet(1'000, true, kStart + milliseconds(600));
-  fleet.size_told = true;
+  fleet.size_announced = true;
   fleet.RunUntil(kStart + seconds(6));
   CHECK(MostReadFromStore(fleet) < 3 * (kConfigurationBytes + kPageEntries * kEntryBytes));
   fleet.RunUntil(kStart + kTrafficAfter);
--- a/test/relay/relay_model_test.cc
+++ b/test/relay/relay_model_test.cc
@@ -58,15 +58,16 @@
   bool gone = false;
 };
 
-struct World;
+struct RelayModel;
 
 struct Daemon {
   follow::State state;
   Knowledge known;
   ChangeLog log;
-  StoreRevision told;               ///< Revision of the last announced configuration.
-  StoreRevision reading_announced;  ///< Value of `told` at the start of the current read.
-  bool cut_off = false;             ///< The store is unreachable.
+  StoreRevision announced_configuration;  ///< Revision of the last announced configuration.
+  /// Value of `announced_configuration` at the start of the current read.
+  StoreRevision reading_announced;
+  bool cut_off = false;  ///< The store is unreachable.
 };
 
 struct Violations {
@@ -76,8 +77,8 @@
   bool Any() const { return overstates_knowledge || reverts || exceeds_max_age; }
 };
 
-struct World {
-  World(Rules left, std::uint32_t seed) : rules(left), random(seed) {}
+struct RelayModel {
+  RelayModel(Rules model_rules, std::uint32_t seed) : rules(model_rules), random(seed) {}
 
   void At(Time time, std::function<void()> action) {
     actions.push({time, ++order, std::move(action)});
@@ -94,26 +95,28 @@
     history.emplace(revision, Change{now, key, gone});
   }
   /// The revision as daemons see it.
-  StoreRevision Seen(StoreRevision at) const {
+  StoreRevision VisibleRevision(StoreRevision at) const {
     return rules.revisions_have_eras ? at : StoreRevision{0, at.number};
   }
   /// Restores the store to a state some changes ago, then writes the lost changes again.
   void RestoreStore() {
-    const std::int64_t lost = std::min<std::int64_t>(revision.number - 1, Between(1, 60).count());
-    const StoreRevision copy{revision.era, revision.number - lost};
-    const Knowledge now_there = StoreAt(revision);
-    const Knowledge then = StoreAt(copy);
+    const std::int64_t lost_changes =
+        std::min<std::int64_t>(revision.number - 1, Between(1, 60).count());
+    const StoreRevision copy{revision.era, revision.number - lost_changes};
+    const Knowledge state_before_restore = StoreAt(revision);
+    const Knowledge copied_state = StoreAt(copy);
     const std::int64_t era = revision.era + 1;
-    std::map<StoreRevision, Change> brought;
+    std::map<StoreRevision, Change> copied_changes;
     for (const auto& [changed, change] : history)
       if (changed.era == copy.era && changed <= copy)
-        brought.emplace(StoreRevision{era, changed.number}, Change{now, change.key, change.gone});
-    history.merge(brought);
+        copied_changes.emplace(StoreRevision{era, changed.number},
+                               Change{now, change.key, change.gone});
+    history.merge(copied_changes);
     revision = {era, copy.number};
-    for (const auto& [key, changed] : now_there)
+    for (const auto& [key, changed] : state_before_restore)
       if (changed > copy) Record(key, false);
-    for (const auto& [key, changed] : then)
-      if (!now_there.contains(key)) Record(key, true);
+    for (const auto& [key, changed] : copied_state)
+      if (!state_before_restore.contains(key)) Record(key, true);
     reachable_since = now;
     At(now + Between(4'000, 15'000), [this] { RestoreStore(); });
   }
@@ -144,15 +147,16 @@
   void Reduce(Daemon& daemon, const follow::Event& event) {
     daemon.state = follow::Reduce(kSettings, daemon.state, event, now).state;
   }
-  void Learn(Daemon& daemon, const std::string& key, StoreRevision changed, bool gone) {
+  void ApplyChange(Daemon& daemon, const std::string& key, StoreRevision changed, bool gone) {
     const auto known = daemon.known.find(key);
     const StoreRevision before = known == daemon.known.end() ? StoreRevision{} : known->second;
     if (changed < before) {
       // A configuration is accepted from any source only with a higher version.
       if (key == kConfiguration) return;
-      harm.reverts = true;
+      violations.reverts = true;
     }
-    if (key != kConfiguration && changed != before) daemon.log.Note(key, Seen(changed), gone);
+    if (key != kConfiguration && changed != before)
+      daemon.log.Note(key, VisibleRevision(changed), gone);
     if (gone)
       daemon.known.erase(key);
     else
@@ -170,7 +174,7 @@
   void Read(Daemon& daemon) {
     const ReadKind kind = follow::NextReadKind(kSettings, daemon.state, now);
     Reduce(daemon, follow::ReadBegun{kind});
-    daemon.reading_announced = daemon.told;
+    daemon.reading_announced = daemon.announced_configuration;
     const StoreRevision after = daemon.state.revision;
     if (daemon.cut_off || Chance(0.02)) {
       const bool unanswered = Chance(0.7);
@@ -187,9 +191,10 @@
     At(now + (Chance(0.1) ? Between(0, 600) : Between(0, 60)), [this, &daemon, after, at, kind] {
       double bytes = 1;
       bool outdated = false;
-      const bool given_out = after.era == Seen(at).era && after <= Seen(at);
-      const bool history_gone = kind == ReadKind::kChanges && !given_out;
-      if (history_gone) {
+      const bool revision_issued =
+          after.era == VisibleRevision(at).era && after <= VisibleRevision(at);
+      const bool history_unavailable = kind == ReadKind::kChanges && !revision_issued;
+      if (history_unavailable) {
         Reduce(daemon, follow::ReadFailed{kRetryDelay, false, true});
         ReadWhenDue(daemon);
         return;
@@ -197,14 +202,15 @@
       if (kind == ReadKind::kChanges)
         bytes = TakeChanges(daemon, after, at);
       else if (kind == ReadKind::kConfiguration)
-        Learn(daemon, kConfiguration, StoreAt(at).at(kConfiguration), false);
+        ApplyChange(daemon, kConfiguration, StoreAt(at).at(kConfiguration), false);
       else if (kind == ReadKind::kAnnouncedConfiguration)
         outdated = !ReadAnnounced(daemon, at);
       else
         TakeListing(daemon, at, kind);
       // Randomly makes either the changes or a listing the smaller expected answer.
-      Reduce(daemon, follow::ReadEnded{Seen(at), 1 + static_cast<double>(random() % kServers),
-                                       bytes, outdated});
+      Reduce(daemon,
+             follow::ReadEnded{VisibleRevision(at), 1 + static_cast<double>(random() % kServers),
+                               bytes, outdated});
       ReadWhenDue(daemon);
     });
   }
@@ -212,7 +218,7 @@
   bool ReadAnnounced(Daemon& daemon, StoreRevision at) {
     const StoreRevision older{at.era, std::max<std::int64_t>(1, at.number - 12)};
     const StoreRevision answered_at = Chance(0.5) ? at : older;
-    Learn(daemon, kConfiguration, StoreAt(answered_at).at(kConfiguration), false);
+    ApplyChange(daemon, kConfiguration, StoreAt(answered_at).at(kConfiguration), false);
     return daemon.known[kConfiguration] >= daemon.reading_announced ||
            !rules.announced_version_is_checked;
   }
@@ -220,31 +226,33 @@
     const StoreRevision known = daemon.state.revision;
     double changes = 0;
     for (const auto& [changed, change] : history) {
-      if (changed.era != at.era || Seen(changed) <= after || changed > at) continue;
+      if (changed.era != at.era || VisibleRevision(changed) <= after || changed > at) continue;
       ++changes;
-      const bool older = change.key != kConfiguration && Seen(changed) <= known;
-      if (!older || !rules.older_reads_ignored) Learn(daemon, change.key, changed, change.gone);
+      const bool older = change.key != kConfiguration && VisibleRevision(changed) <= known;
+      if (!older || !rules.older_reads_ignored)
+        ApplyChange(daemon, change.key, changed, change.gone);
     }
-    daemon.log.Advance(Seen(at));
+    daemon.log.Advance(VisibleRevision(at));
     return changes;
   }
   void TakeListing(Daemon& daemon, StoreRevision at, ReadKind kind) {
     const Knowledge listed = StoreAt(at);
     if (!daemon.state.listed)
-      daemon.log.Restart(Seen(at));
+      daemon.log.Restart(VisibleRevision(at));
     else if (rules.listings_record_gaps)
-      daemon.log.RecordListing(daemon.state.revision, Seen(at));
+      daemon.log.RecordListing(daemon.state.revision, VisibleRevision(at));
     else
-      daemon.log.Advance(Seen(at));
+      daemon.log.Advance(VisibleRevision(at));
     const Knowledge before = daemon.known;
     for (const auto& [key, changed] : before)
-      if (key != kConfiguration && !listed.contains(key)) Learn(daemon, key, at, true);
+      if (key != kConfiguration && !listed.contains(key)) ApplyChange(daemon, key, at, true);
     for (const auto& [key, changed] : listed)
-      if (key != kConfiguration || kind == ReadKind::kListing) Learn(daemon, key, changed, false);
+      if (key != kConfiguration || kind == ReadKind::kListing)
+        ApplyChange(daemon, key, changed, false);
   }
 
-  void Ask() {
-    At(now + kRequestInterval, [this] { Ask(); });
+  void RequestChanges() {
+    At(now + kRequestInterval, [this] { RequestChanges(); });
     if (!follower.state.listed || Chance(0.05)) return;  // Lost, or not listed yet.
     const Time asked = now;
     const StoreRevision from = follower.state.revision;
@@ -297,7 +305,7 @@
                         (rules.watcher_states_age ? age : milliseconds(0));
     answer.newer_configuration =
         rules.configuration_is_read && configuration > follower.known[kConfiguration];
-    if (answer.newer_configuration) follower.told = configuration;
+    if (answer.newer_configuration) follower.announced_configuration = configuration;
     const StoreRevision known = follower.state.revision;
     const follow::Decision decision = follow::Reduce(kSettings, follower.state, answer, now);
     follower.state = decision.state;
@@ -305,15 +313,15 @@
     if (decision.apply) {
       for (const ChangeLog::Change& change : changes)
         if (change.revision > known)
-          Learn(follower, change.server_id, TrueRevision(change.revision), change.gone);
+          ApplyChange(follower, change.server_id, TrueRevision(change.revision), change.gone);
       follower.log.Advance(answer.to_revision);
     }
     ReadWhenDue(follower);
   }
 
   /// If daemons do not see eras, the revision is assumed to be in the store's current era.
-  StoreRevision TrueRevision(StoreRevision seen) const {
-    return rules.revisions_have_eras ? seen : StoreRevision{revision.era, seen.number};
+  StoreRevision TrueRevision(StoreRevision visible) const {
+    return rules.revisions_have_eras ? visible : StoreRevision{revision.era, visible.number};
   }
 
   /// Checks that a daemon knows every change older than the time at which it claims to be current.
@@ -325,10 +333,10 @@
       const Time claimed = configuration ? daemon.state.configuration_at : daemon.state.current_at;
       if (change.time >= claimed) continue;
       const auto known = daemon.known.find(change.key);
-      const bool has = known != daemon.known.end();
-      const bool stale = has && known->second < changed;
-      const bool unheard_of = !has && !change.gone && !IsRemovedAfter(change.key, changed);
-      if (stale || unheard_of) harm.overstates_knowledge = true;
+      const bool present = known != daemon.known.end();
+      const bool stale = present && known->second < changed;
+      const bool missing = !present && !change.gone && !IsRemovedAfter(change.key, changed);
+      if (stale || missing) violations.overstates_knowledge = true;
     }
   }
   /// @return whether the entry is removed after that revision; a daemon that lacks it may then be
@@ -344,7 +352,7 @@
     const milliseconds bound = kSettings.max_age + 2 * kSlowestRead;
     if (follower.cut_off || now < reachable_since + bound) return;
     if (now - std::min(follower.state.current_at, follower.state.configuration_at) > bound)
-      harm.exceeds_max_age = true;
+      violations.exceeds_max_age = true;
   }
 
   /// Disconnects one daemon from the store, or reconnects it.
@@ -386,12 +394,12 @@
     reachable_since = now;
     const Time end = now + kRunTime;
     At(now + Between(1, 500), [this] { MakeChange(); });
-    At(now + Between(1, 500), [this] { Ask(); });
+    At(now + Between(1, 500), [this] { RequestChanges(); });
     At(now + Between(200, 3'000), [this] { SendGap(); });
     At(now + Between(1'000, 9'000), [this] { ToggleConnection(); });
     At(now + Between(1'000, 9'000), [this] { ReplaceWatcher(); });
     if (rules.store_is_restored) At(now + Between(4'000, 15'000), [this] { RestoreStore(); });
-    while (now < end && !harm.Any()) {
+    while (now < end && !violations.Any()) {
       const Action next = actions.top();
       actions.pop();
       now = std::max(now, next.time);
@@ -400,7 +408,7 @@
       Check(watcher);
       CheckAge();
     }
-    return harm;
+    return violations;
   }
 
   struct Action {
@@ -423,16 +431,16 @@
   Daemon watcher;
   Daemon follower;
   Time reachable_since{};
-  Violations harm;
+  Violations violations;
 };
 
-Violations RunSeeds(const Rules& rules, std::uint32_t days) {
+Violations RunSeeds(const Rules& rules, std::uint32_t seeds) {
   Violations all;
-  for (std::uint32_t seed = 1; seed <= days && !all.overstates_knowledge && !all.reverts; ++seed) {
-    const Violations harm = World(rules, seed).Run();
-    all.overstates_knowledge = all.overstates_knowledge || harm.overstates_knowledge;
-    all.reverts = all.reverts || harm.reverts;
-    all.exceeds_max_age = all.exceeds_max_age || harm.exceeds_max_age;
+  for (std::uint32_t seed = 1; seed <= seeds && !all.overstates_knowledge && !all.reverts; ++seed) {
+    const Violations violations = RelayModel(rules, seed).Run();
+    all.overstates_knowledge = all.overstates_knowledge || violations.overstates_knowledge;
+    all.reverts = all.reverts || violations.reverts;
+    all.exceeds_max_age = all.exceeds_max_age || violations.exceeds_max_age;
   }
   return all;
 }
@@ -440,24 +448,24 @@
 TEST_CASE(
     "A follower's data is as complete as it claims, never reverts and never exceeds its maximum "
     "age") {
-  const Violations harm = RunSeeds({}, 400);
-  CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.reverts);
-  CHECK_FALSE(harm.exceeds_max_age);
+  const Violations violations = RunSeeds({}, 400);
+  CHECK_FALSE(violations.overstates_knowledge);
+  CHECK_FALSE(violations.reverts);
+  CHECK_FALSE(violations.exceeds_max_age);
 }
 
 TEST_CASE("A follower's data is as complete as it claims also after restores from older copies") {
-  const Violations harm = RunSeeds({.store_is_restored = true}, 800);
-  CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.reverts);
+  const Violations violations = RunSeeds({.store_is_restored = true}, 800);
+  CHECK_FALSE(violations.overstates_knowledge);
+  CHECK_FALSE(violations.reverts);
 }
 
 // The maximum age is only checked without partial answers: a follower whose reads fail exceeds its
 // bound on some seeds, with or without partial answers (docs/FINDINGS.md).
 TEST_CASE("A follower's data is as complete as it claims also with partial answers") {
-  const Violations harm = RunSeeds({.parts = true}, 800);
-  CHECK_FALSE(harm.overstates_knowledge);
-  CHECK_FALSE(harm.reverts);
+  const Violations violations = RunSeeds({.parts = true}, 800);
+  CHECK_FALSE(violations.overstates_knowledge);
+  CHECK_FALSE(violations.reverts);
 }
 
 TEST_CASE("Unmarked parts, and older answers that complete a part, cause violations") {
--- a/test/relay/relay_plan_test.cc
+++ b/test/relay/relay_plan_test.cc
@@ -32,11 +32,11 @@
   void ReportAll() {
     for (int zone = 0; zone < 3; ++zone)
       for (int daemon = 0; daemon < 10; ++daemon)
-        if (Address(zone, daemon) != silent) planner.Note(Member(zone, daemon), now);
+        if (Address(zone, daemon) != silent_daemon) planner.Note(Member(zone, daemon), now);
   }
   /// Every second all daemons report and the planner runs.
-  RelayPlan RunFor(RelayPlan plan, int for_s) {
-    for (int second = 0; second < for_s; ++second) {
+  RelayPlan RunFor(RelayPlan plan, int duration_s) {
+    for (int second = 0; second < duration_s; ++second) {
       now += seconds(1);
       ReportAll();
       plan = planner.Plan(plan, kStart, now);
@@ -46,7 +46,7 @@
 
   RelayPlanner planner;
   Time now = kStart;
-  std::string silent;
+  std::string silent_daemon;
 };
 
 TEST_CASE("Each zone of a large fleet has its strongest daemons as relays") {
@@ -82,11 +82,11 @@
   Fleet fleet;
   const RelayPlan first = fleet.RunFor({}, 3);
   CHECK(fleet.RunFor(first, 60).number == first.number);
-  fleet.silent = first.zones[1].relays[0];
+  fleet.silent_daemon = first.zones[1].relays[0];
   CHECK(fleet.RunFor(first, 5).number == first.number);
   const RelayPlan second = fleet.RunFor(first, 10);
   CHECK(second.number == 2);
-  CHECK_FALSE(second.Names(fleet.silent));
+  CHECK_FALSE(second.Names(fleet.silent_daemon));
   CHECK(second.Names(first.zones[1].relays[1]));
   CHECK(second.zones[0] == first.zones[0]);
   CHECK(second.zones[1].relays.size() == 2);
@@ -185,11 +185,12 @@
   RelaySources sources = SourcesFor("10.0.1.1:1");
   std::vector<std::string> asked;
   Time now = kStart;
-  for (const milliseconds patience : {milliseconds(800), milliseconds(300), milliseconds(300)}) {
+  for (const milliseconds answer_timeout :
+       {milliseconds(800), milliseconds(300), milliseconds(300)}) {
     asked.push_back(sources.Current(now));
     sources.RecordRequest(now);
-    CHECK(sources.Current(now + patience) == asked.back());
-    now += patience + milliseconds(150);
+    CHECK(sources.Current(now + answer_timeout) == asked.back());
+    now += answer_timeout + milliseconds(150);
   }
   CHECK(asked[1].starts_with("10.0."));
   CHECK(asked[2].starts_with("10.1."));
--- a/test/relay/relay_service_test.cc
+++ b/test/relay/relay_service_test.cc
@@ -17,9 +17,9 @@
 constexpr const char* kLeader = "10.0.0.9:7000";
 
 struct ServiceFixture {
-  /// @param page_entries as Member has it.
-  explicit ServiceFixture(KeyValueTable stock = InitialTable(), std::size_t page_entries = 0)
-      : table(std::move(stock)),
+  explicit ServiceFixture(KeyValueTable initial_table = InitialTable(),
+                          std::size_t page_entries = 0)
+      : table(std::move(initial_table)),
         member(context, table, std::chrono::hours(1), page_entries),
         service(context, member.store, member.store_view, member.metrics, member.log,
                 {"north", kSelf, 2}, MakePorts()) {
@@ -134,24 +134,24 @@
 TEST_CASE("In a large fleet a daemon waits for a relay plan, but only for a limited time") {
   constexpr std::size_t kConfigurationAndServer = 2;
   constexpr std::uint32_t kLargeFleet = 500;
-  constexpr milliseconds kMostOfTheWait{5'500};
-  constexpr milliseconds kListed{1'500};
-  KeyValueTable stock = InitialTable();
-  PutInto(stock, "servers/i-2", ServerText("ready", ""));
-  ServiceFixture fixture(stock, kConfigurationAndServer);
+  constexpr milliseconds kShorterThanWait{5'500};
+  constexpr milliseconds kListingTime{1'500};
+  KeyValueTable initial_table = InitialTable();
+  PutInto(initial_table, "servers/i-2", ServerText("ready", ""));
+  ServiceFixture fixture(initial_table, kConfigurationAndServer);
   ClockJump clock;
   const auto knows_server = [&] { return fixture.member.Record("i-2") != nullptr; };
   fixture.service.HandleFleetSize(kLargeFleet);
   REQUIRE(fixture.member.store_view.AwaitsServers());
-  clock.Sleep(kMostOfTheWait);
+  clock.Sleep(kShorterThanWait);
   fixture.service.Tick();
   fixture.context.run_for(milliseconds(300));
   CHECK_FALSE(knows_server());
   CHECK(fixture.member.store.listings() == 0);
   clock.Sleep(milliseconds(1'000));
   fixture.service.Tick();
-  const auto give_up = BootClock::now() + kListed;
-  while (!knows_server() && BootClock::now() < give_up)
+  const auto deadline = BootClock::now() + kListingTime;
+  while (!knows_server() && BootClock::now() < deadline)
     fixture.context.run_one_for(milliseconds(10));
   CHECK(knows_server());
   fixture.service.HandleFleetSize(kLargeFleet);
--- a/test/relay/relayed_view_test.cc
+++ b/test/relay/relayed_view_test.cc
@@ -33,13 +33,13 @@
   RelayFixture fixture;
   fixture.WaitForWatcher();
   fixture.Exchange();
-  for (int beat = 0; beat < 5; ++beat) fixture.PutServer("i-1", "ready", "");
+  for (int heartbeat = 0; heartbeat < 5; ++heartbeat) fixture.PutServer("i-1", "ready", "");
   fixture.PutServer("i-3", "ready", "");
   fixture.WaitForWatcher();
   const ChangeAnswer answer = fixture.Exchange();
-  std::vector<std::string> told;
-  for (const ServerChange& change : answer.servers) told.push_back(change.record.id);
-  CHECK(told == std::vector<std::string>{"i-3", "i-marker-2"});
+  std::vector<std::string> changed_servers;
+  for (const ServerChange& change : answer.servers) changed_servers.push_back(change.record.id);
+  CHECK(changed_servers == std::vector<std::string>{"i-3", "i-marker-2"});
 }
 
 TEST_CASE("A configuration is read from the store when the watcher has a newer one") {
@@ -78,9 +78,10 @@
   RelayFixture fixture;
   fixture.watcher.store.EndWatch();
   fixture.watcher.store.unreachable = true;
-  const std::optional<ChangeRequest> early = fixture.follower.store_view.MakeChangeQuestion();
-  REQUIRE(early);
-  ChangeRequest before_all = *early;
+  const std::optional<ChangeRequest> first_question =
+      fixture.follower.store_view.MakeChangeQuestion();
+  REQUIRE(first_question);
+  ChangeRequest before_all = *first_question;
   before_all.revision = {fixture.table.era(), 0};
   const ChangeAnswer answer = fixture.watcher.store_view.MakeChangeAnswer(before_all, 20, false);
   CHECK(answer.gap);
--- a/test/relay/restored_store_test.cc
+++ b/test/relay/restored_store_test.cc
@@ -73,14 +73,14 @@
   boost::asio::io_context context;
   KeyValueTable table = InitialTable();
   Member member(context, table, milliseconds(20));
-  const auto run_until = [&](const std::function<bool()>& done) {
-    const auto give_up = BootClock::now() + kBound;
-    while (!done() && BootClock::now() < give_up) {
+  const auto run_until = [&](const std::function<bool()>& condition) {
+    const auto deadline = BootClock::now() + kBound;
+    while (!condition() && BootClock::now() < deadline) {
       member.store.Deliver();
       if (context.stopped()) context.restart();
       context.run_one_for(milliseconds(5));
     }
-    return done();
+    return condition();
   };
   REQUIRE(run_until([&] { return member.Record("i-1") != nullptr; }));
   const KeyValueTable copy = table;
--- a/test/relay/servers_from_relay_test.cc
+++ b/test/relay/servers_from_relay_test.cc
@@ -19,13 +19,13 @@
 
 /// A store with more servers than fit in a page, a relay that has listed it, and a starting daemon.
 struct LargeFleet {
-  LargeFleet() : table(Stocked()), relay(context, table, milliseconds(20)) {
+  LargeFleet() : table(TableOfAllServers()), relay(context, table, milliseconds(20)) {
     REQUIRE(RunUntil([&] { return relay.Record(ServerName(kServers - 1)) != nullptr; }));
     relay.store_view.SetWatching(true);
     starting.emplace(context, table, std::chrono::hours(1), kPageEntries);
     REQUIRE(RunUntil([&] { return starting->Version() == 3; }));
   }
-  static KeyValueTable Stocked() {
+  static KeyValueTable TableOfAllServers() {
     KeyValueTable table = InitialTable();
     for (int server = 0; server < kServers; ++server)
       PutInto(table, "servers/" + ServerName(server), ServerText("ready", kModel));
@@ -64,14 +64,15 @@
     Put(marker, "ready");
     REQUIRE(RunUntil([&] { return relay.Record(marker) != nullptr; }));
   }
-  bool RunUntil(const std::function<bool()>& done, milliseconds patience = milliseconds(20'000)) {
-    const auto give_up = BootClock::now() + patience;
-    while (!done() && BootClock::now() < give_up) {
+  bool RunUntil(const std::function<bool()>& condition,
+                milliseconds timeout = milliseconds(20'000)) {
+    const auto deadline = BootClock::now() + timeout;
+    while (!condition() && BootClock::now() < deadline) {
       relay.store.Deliver();
       if (context.stopped()) context.restart();
       if (context.run_one_for(milliseconds(5)) == 0) std::this_thread::sleep_for(milliseconds(1));
     }
-    return done();
+    return condition();
   }
 
   boost::asio::io_context context;
--- a/test/server_limits/permit_allocator_test.cc
+++ b/test/server_limits/permit_allocator_test.cc
@@ -108,15 +108,15 @@
   constexpr int kSeconds = 400;
   std::vector<FallbackPermits> daemons;
   for (std::uint32_t number = 0; number < kDaemons; ++number) daemons.emplace_back(number);
-  int taken = 0;
+  int acquired = 0;
   int most_at_once = 0;
   for (int tick = 0; tick < kSeconds * 20; ++tick) {
-    const int before = taken;
+    const int before = acquired;
     for (FallbackPermits& permits : daemons)
-      if (permits.TryAcquire("i-1", 10, kDaemons, kStart + milliseconds(50) * tick)) ++taken;
-    most_at_once = std::max(most_at_once, taken - before);
+      if (permits.TryAcquire("i-1", 10, kDaemons, kStart + milliseconds(50) * tick)) ++acquired;
+    most_at_once = std::max(most_at_once, acquired - before);
   }
-  CHECK(taken == Approx(kSeconds * 10 * kFallbackShare).epsilon(0.1));
+  CHECK(acquired == Approx(kSeconds * 10 * kFallbackShare).epsilon(0.1));
   CHECK(most_at_once <= 5);
 }
 
--- a/test/tenants/credit_ledger_test.cc
+++ b/test/tenants/credit_ledger_test.cc
@@ -35,11 +35,11 @@
 }
 
 /// Returns a deposit of `units` that had just accrued when it was sent, with age 0.
-CreditQuestion Deposit(double units, std::int64_t asked_at_us, Time heard, Time sent) {
+CreditQuestion Deposit(double units, std::int64_t asked_at_us, Time last_answer_at, Time sent) {
   CreditQuestion question;
   question.asked_at_us = asked_at_us;
-  question.last_answer_stamp_us = Micros(heard.time_since_epoch());
-  question.since_last_answer_us = Micros(sent - heard);
+  question.last_answer_stamp_us = Micros(last_answer_at.time_since_epoch());
+  question.since_last_answer_us = Micros(sent - last_answer_at);
   question.requests.push_back({"t", 0, 0, 0, {{units, 0}}});
   return question;
 }
@@ -106,10 +106,10 @@
 
 TEST_CASE("Deposited credit keeps its age, plus the longest possible transit time") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 1, 1)}, 1'000'000);
-  const Time heard = kNow;
+  const Time last_answer_at = kNow;
   const Time sent = kNow + milliseconds(200);
   const Time arrives = sent + milliseconds(900);
-  pool.Answer(Deposit(0.5, 1, heard, sent), "a", arrives);
+  pool.Answer(Deposit(0.5, 1, last_answer_at, sent), "a", arrives);
   CHECK(pool.Units("t", arrives) == Approx(0.5).epsilon(0.01));
   // It expires 1.27 s after it was sent, not 1.27 s after it arrived.
   CHECK(pool.Units("t", sent + milliseconds(1'260)) == Approx(0.5).epsilon(0.01));
@@ -118,15 +118,15 @@
 
 TEST_CASE("Deposits with an unknown age or invalid units are dropped") {
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 100, 100)}, 1'000'000);
-  CreditQuestion unheard = Deposit(5, 1, kNow, kNow);
-  unheard.last_answer_stamp_us = 0;
-  pool.Answer(unheard, "a", kNow);
+  CreditQuestion without_answer = Deposit(5, 1, kNow, kNow);
+  without_answer.last_answer_stamp_us = 0;
+  pool.Answer(without_answer, "a", kNow);
   CHECK(pool.Units("t", kNow) < 0.01);
   // The stamp lies in the future, as after a restart of this machine's clock.
   pool.Answer(Deposit(5, 2, kNow + seconds(9), kNow + seconds(9)), "a", kNow);
   CHECK(pool.Units("t", kNow) < 0.01);
-  for (const double absurd : {std::nan(""), -5.0, static_cast<double>(INFINITY)}) {
-    pool.Answer(Deposit(absurd, 3, kNow, kNow), "a", kNow);
+  for (const double not_a_number : {std::nan(""), -5.0, static_cast<double>(INFINITY)}) {
+    pool.Answer(Deposit(not_a_number, 3, kNow, kNow), "a", kNow);
     CHECK(pool.Units("t", kNow) < 0.01);
   }
 }
@@ -178,10 +178,10 @@
   CreditLedger pool = MakeLedger("pool", {MakeTenant("t", 1'000, 1'000)}, 1);
   std::int64_t asked = 0;
 
-  CreditGrant Ask(double needed, milliseconds patience, Time now, std::uint32_t urgency = 0) {
+  CreditGrant Ask(double needed, milliseconds max_wait, Time now, std::uint32_t urgency = 0) {
     CreditQuestion question;
     question.asked_at_us = ++asked;
-    question.requests.push_back({"t", needed, urgency, Micros(patience), {}});
+    question.requests.push_back({"t", needed, urgency, Micros(max_wait), {}});
     return pool.Answer(question, "a", now).back().answer.grants.at(0);
   }
 };
@@ -195,10 +195,10 @@
   CHECK(first.queued);
   CHECK(first.available_in_us == Approx(280'000).epsilon(0.01));
   CHECK(fixture.Ask(300, seconds(1), now).queued);  // Queued behind the first.
-  const CreditGrant hasty = fixture.Ask(80, milliseconds(100), now);
-  CHECK_FALSE(hasty.queued);
-  CHECK(hasty.parts.empty());
-  CHECK(hasty.available_in_us == Approx(660'000).epsilon(0.01));
+  const CreditGrant short_wait = fixture.Ask(80, milliseconds(100), now);
+  CHECK_FALSE(short_wait.queued);
+  CHECK(short_wait.parts.empty());
+  CHECK(short_wait.available_in_us == Approx(660'000).epsilon(0.01));
   CHECK(fixture.Ask(6, milliseconds(0), now).parts.size() == 1);  // A negligible cost goes first.
   CHECK(fixture.pool.Take("t", 6, 0, now).quota_status ==
         TakeStatus::kInsufficient);  // Take does not bypass the queue.
--- a/test/tenants/credit_model_test.cc
+++ b/test/tenants/credit_model_test.cc
@@ -35,19 +35,19 @@
   int pools = 2;
   double rate = 100;
   double burst = 100;
-  double cost = 1;    ///< Of each request.
-  double wanted = 1;  ///< Requested units, as a share of the limit's rate.
-  double skew = 0;    ///< Share of the requests that arrive at the first daemon.
+  double cost = 1;             ///< Of each request.
+  double requested_share = 1;  ///< Requested units, as a share of the limit's rate.
+  double skew = 0;             ///< Share of the requests that arrive at the first daemon.
   double slack = 0;
-  milliseconds patience{0};  ///< Of each request, at a pool without enough credit.
+  milliseconds max_wait{0};  ///< Of each request, at a pool without enough credit.
   Faults faults;
   InjectedBug injected_bug = InjectedBug::kNone;
 };
 
 class Model {
  public:
-  Model(Case wanted, std::uint32_t seed)
-      : case_(wanted), random_(seed), settings_{seconds(8), 0.1, wanted.slack} {
+  Model(Case load_case, std::uint32_t seed)
+      : case_(load_case), random_(seed), settings_{seconds(8), 0.1, load_case.slack} {
     Tenant tenant;
     tenant.name = "t";
     tenant.limit = {QuotaUnit::kRequests, case_.rate, case_.burst, 0};
@@ -70,7 +70,7 @@
   std::uint64_t questions() const { return questions_; }
   double granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
-  double asked() const { return asked_; }
+  double requested_units() const { return requested_units_; }
 
  private:
   struct Daemon {
@@ -96,29 +96,31 @@
 
   static std::string Name(int number) { return "d" + std::to_string(number); }
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  int Pick(int below) { return std::uniform_int_distribution<>(0, below - 1)(random_); }
+  int Pick(int bound) { return std::uniform_int_distribution<>(0, bound - 1)(random_); }
   /// Each daemon has its own clock offset.
   Time Clock(int number) const {
     return now_ +
            std::chrono::microseconds(daemons_[static_cast<std::size_t>(number)].clock_ahead_us);
   }
-  Daemon& At(int number) { return daemons_[static_cast<std::size_t>(number)]; }
+  Daemon& DaemonAt(int number) { return daemons_[static_cast<std::size_t>(number)]; }
 
   Daemon Start(int number) {
     Daemon daemon{CreditLedger(settings_, Name(number)), {}, {}, 0, number * 7'000'000LL};
-    const Time own = now_ + std::chrono::microseconds(daemon.clock_ahead_us);
-    daemon.ledger.SetLimits(tenants_, own);
+    const Time local_time = now_ + std::chrono::microseconds(daemon.clock_ahead_us);
+    daemon.ledger.SetLimits(tenants_, local_time);
     daemon.ledger.SetSharing(sharing_);
     return daemon;
   }
-  bool Up(int number) { return At(number).frozen_until <= now_ && At(number).down_until <= now_; }
+  bool IsRunning(int number) {
+    return DaemonAt(number).frozen_until <= now_ && DaemonAt(number).down_until <= now_;
+  }
 
   void Send(int from, const std::string& to, std::optional<CreditQuestion> question,
             std::optional<CreditAnswer> answer) {
     const int target = std::stoi(to.substr(1));
     const bool to_itself = target == from;
-    if (!to_itself &&
-        (Chance() < case_.faults.lost || At(from).partition_side != At(target).partition_side))
+    if (!to_itself && (Chance() < case_.faults.lost ||
+                       DaemonAt(from).partition_side != DaemonAt(target).partition_side))
       return;
     milliseconds delay(1 + Pick(5));
     if (Chance() < case_.faults.late) delay = milliseconds(Pick(3'000));
@@ -131,13 +133,13 @@
   }
 
   void SendAnswers(int from, std::vector<AddressedAnswer> answers) {
-    const Time own = Clock(from);
+    const Time local_time = Clock(from);
     for (AddressedAnswer& each : answers) {
       if (case_.injected_bug == InjectedBug::kKeptWhenSent)
         for (const CreditGrant& grant : each.answer.grants)
           for (const CreditPart& part : grant.parts)
-            At(from).ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
-                                   own);
+            DaemonAt(from).ledger.Refund(
+                "t", {local_time - std::chrono::microseconds(part.age_us), part.units}, local_time);
       Send(from, each.to, std::nullopt, std::move(each.answer));
     }
   }
@@ -146,24 +148,27 @@
     std::deque<Message> due;
     std::erase_if(messages_, [&](const Message& message) {
       // Messages to a frozen daemon wait in its socket.
-      const bool here = message.arrives <= now_ && At(message.to).frozen_until <= now_;
-      if (here) due.push_back(message);
-      return here;
+      const bool deliverable = message.arrives <= now_ && DaemonAt(message.to).frozen_until <= now_;
+      if (deliverable) due.push_back(message);
+      return deliverable;
     });
     for (Message& message : due) {
-      if (!Up(message.to)) continue;
-      Daemon& daemon = At(message.to);
-      const Time own = Clock(message.to);
+      if (!IsRunning(message.to)) continue;
+      Daemon& daemon = DaemonAt(message.to);
+      const Time local_time = Clock(message.to);
       if (message.question) {
-        SendAnswers(message.to, daemon.ledger.Answer(*message.question, Name(message.from), own));
+        SendAnswers(message.to,
+                    daemon.ledger.Answer(*message.question, Name(message.from), local_time));
       } else {
-        const bool taken = daemon.ledger.TakeAnswer(*message.answer, Name(message.from), own);
-        if (taken) NoteAnswer(message.to, *message.answer);
-        if (taken && case_.injected_bug == InjectedBug::kTakenTwice)
+        const bool accepted =
+            daemon.ledger.TakeAnswer(*message.answer, Name(message.from), local_time);
+        if (accepted) NoteAnswer(message.to, *message.answer);
+        if (accepted && case_.injected_bug == InjectedBug::kTakenTwice)
           for (const CreditGrant& grant : message.answer->grants)
             for (const CreditPart& part : grant.parts)
-              daemon.ledger.Refund("t", {own - std::chrono::microseconds(part.age_us), part.units},
-                                   own);
+              daemon.ledger.Refund(
+                  "t", {local_time - std::chrono::microseconds(part.age_us), part.units},
+                  local_time);
       }
     }
   }
@@ -173,12 +178,12 @@
     const int number = Pick(case_.daemons);
     switch (Pick(5)) {
       case 0:
-        At(number).frozen_until = now_ + milliseconds(Pick(6'000));
+        DaemonAt(number).frozen_until = now_ + milliseconds(Pick(6'000));
         break;
       case 1: {
         const Time back = now_ + milliseconds(200 + Pick(1'000));
         daemons_[static_cast<std::size_t>(number)] = Start(number);
-        At(number).down_until = back;
+        DaemonAt(number).down_until = back;
         break;
       }
       case 2:
@@ -191,29 +196,30 @@
         if (Chance() < 0.2)
           for (int each = 0; each < case_.daemons; ++each) {
             daemons_[static_cast<std::size_t>(each)] = Start(each);
-            At(each).down_until = now_ + milliseconds(500);
+            DaemonAt(each).down_until = now_ + milliseconds(500);
           }
         break;
     }
   }
 
   void Request(int number) {
-    asked_ += case_.cost;
-    Daemon& daemon = At(number);
-    const Time own = Clock(number);
-    if (daemon.ledger.Take("t", case_.cost, 0, own).quota_status == TakeStatus::kGranted) {
+    requested_units_ += case_.cost;
+    Daemon& daemon = DaemonAt(number);
+    const Time local_time = Clock(number);
+    if (daemon.ledger.Take("t", case_.cost, 0, local_time).quota_status == TakeStatus::kGranted) {
       Grant();
       return;
     }
-    if (!daemon.ledger.PoolFor("t", own)) {
+    if (!daemon.ledger.PoolFor("t", local_time)) {
       ++refused_;
       return;
     }
-    const AddressedQuestion asked = daemon.ledger.Ask({"t", case_.cost, 0, case_.patience}, own);
-    const Time deadline = now_ + std::max<BootClock::duration>(case_.patience, kAnswerTimeout);
-    waiting_.push_back({number, deadline, asked.question.asked_at_us, false});
+    const AddressedQuestion addressed =
+        daemon.ledger.Ask({"t", case_.cost, 0, case_.max_wait}, local_time);
+    const Time deadline = now_ + std::max<BootClock::duration>(case_.max_wait, kAnswerTimeout);
+    waiting_.push_back({number, deadline, addressed.question.asked_at_us, false});
     ++questions_;
-    Send(number, asked.host, asked.question, std::nullopt);
+    Send(number, addressed.host, addressed.question, std::nullopt);
   }
 
   /// Records a pool's answer to a waiting request.
@@ -236,9 +242,9 @@
       used_.pop_front();
     }
     const double window_s = std::chrono::duration<double>(settings_.window).count();
-    const double promised =
+    const double allowed_use =
         (case_.rate * window_s + case_.burst) * (1 + settings_.overshoot) + settings_.slack;
-    max_use_ratio_ = std::max(max_use_ratio_, in_window_ / promised);
+    max_use_ratio_ = std::max(max_use_ratio_, in_window_ / allowed_use);
   }
 
   void Step() {
@@ -246,15 +252,15 @@
     InjectFault();
     Deliver();
     for (int number = 0; number < case_.daemons; ++number) {
-      if (!Up(number)) continue;
-      SendAnswers(number, At(number).ledger.Serve(Clock(number)));
-      for (AddressedQuestion& due : At(number).ledger.Tick(Clock(number)))
+      if (!IsRunning(number)) continue;
+      SendAnswers(number, DaemonAt(number).ledger.Serve(Clock(number)));
+      for (AddressedQuestion& due : DaemonAt(number).ledger.Tick(Clock(number)))
         Send(number, due.host, std::move(due.question), std::nullopt);
     }
     std::erase_if(waiting_, [&](const Waiting& waiting) {
-      if (!Up(waiting.number)) return waiting.deadline <= now_;
+      if (!IsRunning(waiting.number)) return waiting.deadline <= now_;
       const TakeResult take_result =
-          At(waiting.number)
+          DaemonAt(waiting.number)
               .ledger.Take("t", case_.cost, waiting.granted ? waiting.asked_at_us : 0,
                            Clock(waiting.number));
       const bool served = take_result.quota_status == TakeStatus::kGranted;
@@ -264,11 +270,12 @@
     });
     const bool warm = now_ - start_ > kWarmUp;
     if (warm)
-      due_ += case_.rate * case_.wanted * std::chrono::duration<double>(kStep).count() / case_.cost;
-    while (due_ >= 1) {
-      due_ -= 1;
+      due_requests_ += case_.rate * case_.requested_share *
+                       std::chrono::duration<double>(kStep).count() / case_.cost;
+    while (due_requests_ >= 1) {
+      due_requests_ -= 1;
       const int number = Chance() < case_.skew ? 0 : Pick(case_.daemons);
-      if (Up(number)) Request(number);
+      if (IsRunning(number)) Request(number);
     }
   }
 
@@ -285,17 +292,17 @@
   double in_window_ = 0;
   double max_use_ratio_ = 0;
   double granted_ = 0;
-  double asked_ = 0;
-  double due_ = 0;
+  double requested_units_ = 0;
+  double due_requests_ = 0;
   std::uint64_t refused_ = 0;
   const Time start_{std::chrono::hours(1)};
   Time now_ = start_;
 };
 
-double MaxUseRatio(const Case& wanted, std::uint32_t seeds, seconds length) {
+double MaxUseRatio(const Case& load_case, std::uint32_t seeds, seconds length) {
   double most = 0;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
-    Model model(wanted, seed);
+    Model model(load_case, seed);
     model.Run(length);
     most = std::max(most, model.max_use_ratio());
   }
@@ -306,15 +313,15 @@
 
 TEST_CASE("No schedule of faults lets a flood exceed its tenant's limit") {
   for (const int daemons : {2, 3, 7, 30}) {
-    Case flood;
-    flood.daemons = daemons;
-    flood.pools = std::min(3, daemons);
-    flood.wanted = 8;
-    flood.faults = kAllFaults;
+    Case overload;
+    overload.daemons = daemons;
+    overload.pools = std::min(3, daemons);
+    overload.requested_share = 8;
+    overload.faults = kAllFaults;
     INFO(daemons << " daemons");
-    CHECK(MaxUseRatio(flood, 20, seconds(60)) <= 1);
-    flood.skew = 0.9;
-    CHECK(MaxUseRatio(flood, 10, seconds(60)) <= 1);
+    CHECK(MaxUseRatio(overload, 20, seconds(60)) <= 1);
+    overload.skew = 0.9;
+    CHECK(MaxUseRatio(overload, 10, seconds(60)) <= 1);
   }
 }
 
@@ -326,94 +333,94 @@
   small.burst = 29'000;
   small.slack = 110'000;
   small.cost = 9'200;
-  small.wanted = 6;
+  small.requested_share = 6;
   small.faults = kAllFaults;
   CHECK(MaxUseRatio(small, 6, seconds(60)) <= 1);
 }
 
 TEST_CASE("A flood is granted at least 95% of its tenant's limit") {
-  Case flood;
-  flood.daemons = 20;
-  flood.pools = 3;
-  flood.wanted = 3;
-  Model model(flood, 1);
+  Case overload;
+  overload.daemons = 20;
+  overload.pools = 3;
+  overload.requested_share = 3;
+  Model model(overload, 1);
   model.Run(seconds(60));
-  CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
+  CHECK(model.granted() > 0.95 * overload.rate * (60 - kWarmUp.count()));
 }
 
 TEST_CASE(
     "A flood of requests above one daemon's accrual per credit lifetime still gets its limit") {
-  Case flood;
-  flood.daemons = 84;
-  flood.pools = 3;
-  flood.rate = 380'000;
-  flood.burst = 380'000;
-  flood.slack = 110'000;
-  flood.cost = 11'000;
-  flood.wanted = 4;
-  for (const milliseconds patience : {milliseconds(0), milliseconds(400), milliseconds(1'500)}) {
-    flood.patience = patience;
-    Model model(flood, 1);
+  Case overload;
+  overload.daemons = 84;
+  overload.pools = 3;
+  overload.rate = 380'000;
+  overload.burst = 380'000;
+  overload.slack = 110'000;
+  overload.cost = 11'000;
+  overload.requested_share = 4;
+  for (const milliseconds max_wait : {milliseconds(0), milliseconds(400), milliseconds(1'500)}) {
+    overload.max_wait = max_wait;
+    Model model(overload, 1);
     model.Run(seconds(60));
-    INFO("patience " << patience.count() << " ms");
-    CHECK(model.granted() > 0.95 * flood.rate * (60 - kWarmUp.count()));
+    INFO("patience " << max_wait.count() << " ms");
+    CHECK(model.granted() > 0.95 * overload.rate * (60 - kWarmUp.count()));
     CHECK(model.max_use_ratio() <= 1);
     // At most one question per request.
-    CHECK(static_cast<double>(model.questions()) <= model.asked() / flood.cost);
+    CHECK(static_cast<double>(model.questions()) <= model.requested_units() / overload.cost);
   }
 }
 
 TEST_CASE("At most 1% is refused below the limit, however unevenly requests are spread") {
   for (const double skew : {0.0, 0.9}) {
-    Case calm;
-    calm.daemons = 84;
-    calm.pools = 3;
-    calm.rate = 29'000;
-    calm.burst = 29'000;
-    calm.slack = 110'000;
-    calm.cost = 9'200;
-    calm.wanted = 0.55;
-    calm.skew = skew;
-    Model model(calm, 1);
+    Case light_load;
+    light_load.daemons = 84;
+    light_load.pools = 3;
+    light_load.rate = 29'000;
+    light_load.burst = 29'000;
+    light_load.slack = 110'000;
+    light_load.cost = 9'200;
+    light_load.requested_share = 0.55;
+    light_load.skew = skew;
+    Model model(light_load, 1);
     model.Run(seconds(120));
     INFO("skew " << skew);
-    CHECK(model.refused() * calm.cost <= 0.01 * model.asked());
+    CHECK(model.refused() * light_load.cost <= 0.01 * model.requested_units());
   }
 }
 
 TEST_CASE(
     "Fewer than 15% are refused below the limit while daemons freeze, are partitioned or killed") {
-  Case calm;
-  calm.daemons = 7;
-  calm.pools = 3;
-  calm.wanted = 0.5;
-  calm.faults = {0.02, 0, 0, true};
+  Case light_load;
+  light_load.daemons = 7;
+  light_load.pools = 3;
+  light_load.requested_share = 0.5;
+  light_load.faults = {0.02, 0, 0, true};
   double refused = 0;
-  double asked = 0;
+  double requested_units = 0;
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
-    Model model(calm, seed);
+    Model model(light_load, seed);
     model.Run(seconds(60));
     refused += static_cast<double>(model.refused());
-    asked += model.asked();
+    requested_units += model.requested_units();
   }
-  INFO("refused " << refused << " of " << asked);
-  CHECK(refused < 0.15 * asked);
+  INFO("refused " << refused << " of " << requested_units);
+  CHECK(refused < 0.15 * requested_units);
 }
 
 TEST_CASE("The check detects each injected bug in the ledger") {
-  Case flood;
-  flood.daemons = 20;
-  flood.pools = 1;
-  flood.rate = 1'000;
-  flood.burst = 1'000;
-  flood.cost = 60;  // Above one daemon's accrual per lifetime, so pools are needed.
-  flood.wanted = 8;
-  CHECK(MaxUseRatio(flood, 4, seconds(60)) <= 1);
+  Case overload;
+  overload.daemons = 20;
+  overload.pools = 1;
+  overload.rate = 1'000;
+  overload.burst = 1'000;
+  overload.cost = 60;  // Above one daemon's accrual per lifetime, so pools are needed.
+  overload.requested_share = 8;
+  CHECK(MaxUseRatio(overload, 4, seconds(60)) <= 1);
   for (const InjectedBug injected_bug :
        {InjectedBug::kTakenTwice, InjectedBug::kKeptWhenSent, InjectedBug::kStaleDaemonCount}) {
-    flood.injected_bug = injected_bug;
+    overload.injected_bug = injected_bug;
     INFO("injected bug " << static_cast<int>(injected_bug));
-    CHECK(MaxUseRatio(flood, 4, seconds(60)) > 1);
+    CHECK(MaxUseRatio(overload, 4, seconds(60)) > 1);
   }
 }
 
--- a/test/tenants/keyed_request_test.cc
+++ b/test/tenants/keyed_request_test.cc
@@ -33,7 +33,7 @@
       : server([this](ScriptedConnection& connection) {
           for (std::string head = connection.ReadHead(); !head.empty();
                head = connection.ReadHead()) {
-            seen = head;
+            received_head = head;
             ++requests;
             connection.Write(Ok());
           }
@@ -45,12 +45,12 @@
     route.open = open;
     gateway.SetRoutesAndTenants({route}, std::move(tenants));
   }
-  std::string Ask(const std::string& headers = "", const std::string& path = "/p/x") {
+  std::string SendRequest(const std::string& headers = "", const std::string& path = "/p/x") {
     return gateway.Exchange(PipelineFixture::Request(path, headers));
   }
 
   PipelineFixture gateway;
-  std::string seen;
+  std::string received_head;
   std::atomic<int> requests{0};
   ScriptedServer server;
 };
@@ -58,10 +58,10 @@
 TEST_CASE("A request with a known key runs under its tenant, and the key is not forwarded") {
   Fixture fixture;
   fixture.Configure({MakeTenant("north", "k1"), MakeTenant("south", "k2")});
-  CHECK(PipelineFixture::Status(fixture.Ask(WithKey("k2") + "X-Tenant: north\r\n")) == 200);
-  CHECK(Has(fixture.seen, "X-Tenant: south\r\n"));
-  CHECK_FALSE(Has(fixture.seen, "north"));
-  CHECK_FALSE(Has(fixture.seen, "k2"));
+  CHECK(PipelineFixture::Status(fixture.SendRequest(WithKey("k2") + "X-Tenant: north\r\n")) == 200);
+  CHECK(Has(fixture.received_head, "X-Tenant: south\r\n"));
+  CHECK_FALSE(Has(fixture.received_head, "north"));
+  CHECK_FALSE(Has(fixture.received_head, "k2"));
 }
 
 TEST_CASE("Requests without a key of the configuration in force are not executed") {
@@ -78,13 +78,13 @@
                                    {"X-Tenant: north\r\n", "key_missing"}};
   for (const Case& each : cases) {
     INFO(each.headers);
-    const std::string answer = fixture.Ask(each.headers);
+    const std::string answer = fixture.SendRequest(each.headers);
     CHECK(PipelineFixture::Status(answer) == 401);
     CHECK(Has(answer, each.reason));
     CHECK(Has(answer, "WWW-Authenticate: Bearer\r\n"));
     CHECK(Has(answer, "\"executed\":\"no\""));
   }
-  const std::string in_url = fixture.Ask("", "/p/x?api_key=k1");
+  const std::string in_url = fixture.SendRequest("", "/p/x?api_key=k1");
   CHECK(PipelineFixture::Status(in_url) == 401);
   CHECK(Has(in_url, "keys in URLs are not read"));
   CHECK(fixture.requests == 0);
@@ -93,11 +93,12 @@
 TEST_CASE("Public routes, and configurations without tenants, need no key") {
   Fixture fixture;
   fixture.Configure({MakeTenant("north", "k1")}, true);
-  CHECK(PipelineFixture::Status(fixture.Ask()) == 200);
-  CHECK_FALSE(Has(fixture.seen, "X-Tenant"));
+  CHECK(PipelineFixture::Status(fixture.SendRequest()) == 200);
+  CHECK_FALSE(Has(fixture.received_head, "X-Tenant"));
   fixture.Configure({});
-  CHECK(PipelineFixture::Status(fixture.Ask(WithKey("own"))) == 200);
-  CHECK(Has(fixture.seen, "Authorization: Bearer own"));  // Not a tenant's key, so it is forwarded.
+  CHECK(PipelineFixture::Status(fixture.SendRequest(WithKey("own"))) == 200);
+  CHECK(Has(fixture.received_head,
+            "Authorization: Bearer own"));  // Not a tenant's key, so it is forwarded.
 }
 
 TEST_CASE(
@@ -107,11 +108,11 @@
   fixture.Configure({MakeTenant("north", "k1")});
   fixture.gateway.OnThread(
       [&] { fixture.gateway.view().configuration_current_at = BootClock::now() - seconds(60); });
-  const std::string unknown = fixture.Ask(WithKey("new"));
+  const std::string unknown = fixture.SendRequest(WithKey("new"));
   CHECK(PipelineFixture::Status(unknown) == 503);
   CHECK(Has(unknown, "Retry-After"));
-  CHECK(PipelineFixture::Status(fixture.Ask()) == 503);
-  CHECK(PipelineFixture::Status(fixture.Ask(WithKey("k1"))) == 200);
+  CHECK(PipelineFixture::Status(fixture.SendRequest()) == 503);
+  CHECK(PipelineFixture::Status(fixture.SendRequest(WithKey("k1"))) == 200);
 }
 
 TEST_CASE("A tenant's priority overrides its route's") {
@@ -122,10 +123,10 @@
   urgent.priority = 1;
   fixture.gateway.SetRoutesAndTenants({route}, {urgent, MakeTenant("plain", "k2")}, true);
   fixture.gateway.AddServer("i-1", fixture.server.endpoint(), {{"m", {}}});
-  fixture.Ask(WithKey("k1") + "X-Model: m\r\n");
-  CHECK(Has(fixture.seen, "X-Request-Priority: 1\r\n"));
-  fixture.Ask(WithKey("k2") + "X-Model: m\r\n");
-  CHECK(Has(fixture.seen, "X-Request-Priority: 4\r\n"));
+  fixture.SendRequest(WithKey("k1") + "X-Model: m\r\n");
+  CHECK(Has(fixture.received_head, "X-Request-Priority: 1\r\n"));
+  fixture.SendRequest(WithKey("k2") + "X-Model: m\r\n");
+  CHECK(Has(fixture.received_head, "X-Request-Priority: 4\r\n"));
 }
 
 TEST_CASE("A waiting request is not sent after its key is revoked") {
@@ -135,7 +136,7 @@
   fixture.gateway.SetRoutesAndTenants({route}, {MakeTenant("north", "k1")});
   fixture.gateway.OnThread([&] { fixture.gateway.view().servers.Remove("i-1"); });
   std::string answer;
-  std::thread caller([&] { answer = fixture.Ask(WithKey("k1")); });
+  std::thread caller([&] { answer = fixture.SendRequest(WithKey("k1")); });
   std::this_thread::sleep_for(milliseconds(100));
   fixture.gateway.SetRoutesAndTenants({route}, {MakeTenant("north", "k2")});
   fixture.gateway.AddServer("i-1", fixture.server.endpoint());
@@ -148,11 +149,11 @@
 TEST_CASE("A request already at a server completes after its key is revoked") {
   PipelineFixture gateway;
   std::promise<void> arrived;
-  std::promise<void> go_on;
+  std::promise<void> continue_signal;
   ScriptedServer server([&](ScriptedConnection& connection) {
     connection.ReadHead();
     arrived.set_value();
-    go_on.get_future().wait();
+    continue_signal.get_future().wait();
     connection.Write(Ok());
   });
   const Route route = PipelineFixture::MakeRoute(RouteType::kAtMostOnce);
@@ -163,7 +164,7 @@
       [&] { answer = gateway.Exchange(PipelineFixture::Request("/p/x", WithKey("k1"))); });
   arrived.get_future().wait();
   gateway.SetRoutesAndTenants({route}, {MakeTenant("north", "k2")});
-  go_on.set_value();
+  continue_signal.set_value();
   caller.join();
   CHECK(PipelineFixture::Status(answer) == 200);
 }
--- a/test/tenants/limited_request_test.cc
+++ b/test/tenants/limited_request_test.cc
@@ -41,7 +41,7 @@
   void Share(CreditSharing sharing) {
     gateway.OnThread([&] { gateway.quota().SetSharing(sharing); });
   }
-  std::string Ask(const std::string& headers = "", const std::string& key = "k") {
+  std::string SendRequest(const std::string& headers = "", const std::string& key = "k") {
     return gateway.Exchange(
         PipelineFixture::Request("/p/x", "Authorization: Bearer " + key + "\r\n" + headers));
   }
@@ -58,7 +58,7 @@
   int served = 0;
   std::string refused;
   for (int request = 0; request < 8; ++request) {
-    const std::string answer = fixture.Ask();
+    const std::string answer = fixture.SendRequest();
     if (PipelineFixture::Status(answer) == 200)
       ++served;
     else
@@ -71,14 +71,14 @@
   CHECK(Has(refused, "Retry-After: "));
   CHECK(Has(refused, "\"executed\":\"no\""));
   CHECK(fixture.requests == served);
-  CHECK(PipelineFixture::Status(fixture.Ask("", "l")) == 200);
+  CHECK(PipelineFixture::Status(fixture.SendRequest("", "l")) == 200);
 }
 
 TEST_CASE("A request waits if enough credit is expected soon") {
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0}, kOk, seconds(2));
   fixture.Share({1, {"self"}});
   const auto began = BootClock::now();
-  CHECK(PipelineFixture::Status(fixture.Ask()) == 200);
+  CHECK(PipelineFixture::Status(fixture.SendRequest()) == 200);
   CHECK(BootClock::now() - began > milliseconds(100));
   CHECK(BootClock::now() - began < milliseconds(1'000));
 }
@@ -89,23 +89,23 @@
   for (const char* bad : {"X-Token-Usage: many\r\n", "X-Token-Usage: -5,1\r\n",
                           "X-Token-Usage: 99999999999999999999,1\r\n",
                           "X-Token-Usage: 1,1\r\nx-token-usage: 1,1\r\n"}) {
-    const std::string answer = fixture.Ask(bad);
+    const std::string answer = fixture.SendRequest(bad);
     CHECK(PipelineFixture::Status(answer) == 400);
     CHECK(Has(answer, "tokens_unreadable"));
   }
   CHECK(fixture.requests == 0);
-  const std::string too_large = fixture.Ask("X-Token-Usage: 9000,9000\r\n");
+  const std::string too_large = fixture.SendRequest("X-Token-Usage: 9000,9000\r\n");
   CHECK(PipelineFixture::Status(too_large) == 429);
   CHECK_FALSE(Has(too_large, "Retry-After"));
   std::this_thread::sleep_for(milliseconds(1'200));
-  CHECK(PipelineFixture::Status(fixture.Ask("X-Token-Usage: 600,200\r\n")) == 200);
-  CHECK(PipelineFixture::Status(fixture.Ask("X-Token-Usage: 600,200\r\n")) == 429);
+  CHECK(PipelineFixture::Status(fixture.SendRequest("X-Token-Usage: 600,200\r\n")) == 200);
+  CHECK(PipelineFixture::Status(fixture.SendRequest("X-Token-Usage: 600,200\r\n")) == 429);
 }
 
 TEST_CASE(
     "Requests are refused with the unknown-quota reason if no daemon knows the remaining credit") {
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0});
-  const std::string answer = fixture.Ask();
+  const std::string answer = fixture.SendRequest();
   CHECK(PipelineFixture::Status(answer) == 503);
   CHECK(Has(answer, "quota_unknown"));
   CHECK(Has(answer, "Retry-After: "));
@@ -116,7 +116,7 @@
   Fixture fixture({QuotaUnit::kRequests, 5, 5, 0});
   fixture.Share({1'000, {"10.255.255.1:1"}});
   const auto began = BootClock::now();
-  CHECK(PipelineFixture::Status(fixture.Ask()) == 503);
+  CHECK(PipelineFixture::Status(fixture.SendRequest()) == 503);
   CHECK(BootClock::now() - began < milliseconds(1'000));
 }
 
@@ -125,7 +125,7 @@
   fixture.Share({1, {"self"}});
   std::this_thread::sleep_for(milliseconds(1'100));
   for (int request = 0; request < 3; ++request) {
-    const std::string answer = fixture.Ask();
+    const std::string answer = fixture.SendRequest();
     CHECK(PipelineFixture::Status(answer) == 503);
     CHECK_FALSE(Has(answer, "over_quota"));
   }
--- a/test/tenants/system_headers_test.cc
+++ b/test/tenants/system_headers_test.cc
@@ -15,31 +15,33 @@
     "HTTP/1.1 200 OK\r\nX-Response-Seal: s1\r\nX-Request-Id: one\r\nContent-Length: 1\r\n\r\nx";
 
 std::string Lower(std::string text) {
-  std::transform(text.begin(), text.end(), text.begin(),
-                 [](unsigned char sign) { return static_cast<char>(std::tolower(sign)); });
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char character) {
+    return static_cast<char>(std::tolower(character));
+  });
   return text;
 }
 
 std::string Upper(std::string text) {
-  std::transform(text.begin(), text.end(), text.begin(),
-                 [](unsigned char sign) { return static_cast<char>(std::toupper(sign)); });
+  std::transform(text.begin(), text.end(), text.begin(), [](unsigned char character) {
+    return static_cast<char>(std::toupper(character));
+  });
   return text;
 }
 
 /// Returns the header's value as the server received it, in lower case; empty if absent.
 std::string ValueIn(const std::string& head, const std::string& name) {
   const std::string all = Lower(head);
-  const std::string mark = "\r\n" + Lower(name) + ":";
-  const std::size_t at = all.find(mark);
+  const std::string prefix = "\r\n" + Lower(name) + ":";
+  const std::size_t at = all.find(prefix);
   if (at == std::string::npos) return {};
-  const std::size_t begin = at + mark.size();
+  const std::size_t begin = at + prefix.size();
   return all.substr(begin, all.find("\r\n", begin) - begin);
 }
 
 /// A gateway in front of one server that records the head of each request.
-class KeptHeads {
+class HeadRecorder {
  public:
-  KeptHeads()
+  HeadRecorder()
       : server_([this](ScriptedConnection& connection) {
           for (std::string head = connection.ReadHead(); !head.empty();
                head = connection.ReadHead()) {
@@ -66,7 +68,7 @@
 };
 
 TEST_CASE("System-only headers from clients reach no server, in any spelling") {
-  KeptHeads heads;
+  HeadRecorder heads;
   const platform::Protocol protocol;
   const std::vector<std::string>& list = protocol.headers().system_only;
   for (const char* needed : {"X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch",
@@ -85,7 +87,7 @@
 
 TEST_CASE(
     "Listing a header in Connection neither preserves a forged one nor removes the system's") {
-  KeptHeads heads;
+  HeadRecorder heads;
   const std::string head = heads.HeadFor(
       "Connection: X-Expect-Instance, X-Tenant, X-Deadline-Ms\r\nX-Tenant: forged\r\n");
   CHECK(ValueIn(head, "X-Expect-Instance") == " i-1");
@@ -94,7 +96,7 @@
 }
 
 TEST_CASE("A client's own headers are forwarded") {
-  KeptHeads heads;
+  HeadRecorder heads;
   const std::string head = heads.HeadFor("X-Length-Hint: 7\r\nX-Holdings: mine\r\nX-Kv: mine\r\n");
   CHECK(ValueIn(head, "X-Length-Hint") == " 7");
   CHECK(ValueIn(head, "X-Holdings") == " mine");
@@ -102,19 +104,19 @@
 }
 
 TEST_CASE("The key is not forwarded to servers, even on routes that need none") {
-  KeptHeads heads;
+  HeadRecorder heads;
   CHECK(Lower(heads.HeadFor("Authorization: Bearer secret\r\n")).find("secret") ==
         std::string::npos);
 }
 
 TEST_CASE("Random spellings of system-only headers are removed, and no other header is") {
-  KeptHeads heads;
+  HeadRecorder heads;
   const platform::Protocol protocol;
   const std::vector<std::string>& list = protocol.headers().system_only;
   const bool held = rc::check([&] {
     std::string name = *rc::gen::elementOf(list);
-    for (char& sign : name)
-      if (*rc::gen::arbitrary<bool>()) sign = static_cast<char>(std::toupper(sign));
+    for (char& character : name)
+      if (*rc::gen::arbitrary<bool>()) character = static_cast<char>(std::toupper(character));
     const std::string blanks = *rc::gen::element<std::string>("", " ", "\t", "  ");
     const std::string head = heads.HeadFor(name + ":" + blanks + "forged\r\nX-Mine: kept\r\n");
     RC_ASSERT(Lower(head).find("forged") == std::string::npos);
--- a/test/tenants/tenant_directory_test.cc
+++ b/test/tenants/tenant_directory_test.cc
@@ -46,24 +46,24 @@
 TEST_CASE("An inconsistent list of tenants is rejected with a remedy") {
   struct Case {
     std::vector<Tenant> tenants;
-    const char* told;
+    const char* expected_message;
   };
   Tenant negative = MakeTenant("n", {});
   negative.limit.rate_per_second = -1;
-  Tenant absurd = MakeTenant("n", {});
-  absurd.limit.burst = std::nan("");
-  Tenant endless = MakeTenant("n", {});
-  endless.limit.default_tokens = INFINITY;
+  Tenant not_a_number = MakeTenant("n", {});
+  not_a_number.limit.burst = std::nan("");
+  Tenant infinite = MakeTenant("n", {});
+  infinite.limit.default_tokens = INFINITY;
   const std::vector<Case> cases = {
       {{MakeTenant("a", {}), MakeTenant("a", {})}, "rename one"},
       {{MakeTenant("a", {"k"}), MakeTenant("b", {"k"})}, "give each its own"},
       {{MakeTenant("", {"k"})}, "give it one"},
       {{negative}, "write 0 for no limit"},
-      {{absurd}, "write 0 for no limit"},
-      {{endless}, "write 0 for no limit"}};
+      {{not_a_number}, "write 0 for no limit"},
+      {{infinite}, "write 0 for no limit"}};
   for (const Case& each : cases) {
-    INFO(each.told);
-    CHECK_THROWS_WITH(TenantDirectory(each.tenants), Catch::Contains(each.told));
+    INFO(each.expected_message);
+    CHECK_THROWS_WITH(TenantDirectory(each.tenants), Catch::Contains(each.expected_message));
   }
 }
 
